--- a/pipitledge/scheduling/admission.py
+++ b/pipitledge/scheduling/admission.py
@@ -9,16 +9,16 @@
 
 from pipitledge.configuration.datasets import PoolFigures, QueueFigures, QueueUsageReport
 from pipitledge.configuration.model import Configuration, Route
-from pipitledge.scheduling.admission_rule import Verdict, decide, job_weight
+from pipitledge.scheduling.admission_rule import AdmissionDecision, decide, job_weight
 from pipitledge.scheduling.context import Context
 from pipitledge.scheduling.job import Submission
 from pipitledge.scheduling.objectives import LATE_FACTOR
-from pipitledge.scheduling.workers import ServiceRoom
+from pipitledge.scheduling.workers import ServiceCapacity
 
-RESERVED_PART = 0.5  # of capacity, divided among the queues of a service
-LIMIT_PART = 1.0  # of capacity, that one queue may use up
-SETTLING_S = 3.0  # a new primary has heard of all workers by then
-SLOT_DIGITS = 3  # after the point, of slots in the figures
+RESERVED_FRACTION = 0.5  # of capacity, divided among the queues of a service
+QUEUE_LIMIT_FRACTION = 1.0  # of capacity, that one queue may use up
+WORKER_DISCOVERY_S = 3.0  # a new primary has heard of all workers by then
+SLOT_DECIMALS = 3  # after the point, of slots in the figures
 NO_QUEUES = Counter[int]()
 
 
@@ -28,15 +28,15 @@
     def __init__(self, context: Context) -> None:
         """Work on the shared state."""
         self._context = context
-        self._counted_of: Configuration | None = None
-        self._counted = ServiceQueues(None)
+        self._counted_configuration: Configuration | None = None
+        self._service_queues = ServiceQueues(None)
 
-    def decide(self, route: Route, submission: Submission) -> Verdict:
+    def decide(self, route: Route, submission: Submission) -> AdmissionDecision:
         """Whether a job of that queue is taken in now."""
         room = self._context.room(route.service)
-        self._weigh_old_jobs()
-        if self._unknown(room):
-            return Verdict(True, self.weigh(route.service, submission))
+        self._assign_missing_weights()
+        if self._workers_unknown(room):
+            return AdmissionDecision(True, self.weigh(route.service, submission))
         return decide(self._pool(route.service, room), route, submission)
 
     def weigh(self, service: str, submission: Submission) -> float:
@@ -45,15 +45,15 @@
 
     def usage(self) -> QueueUsageReport:
         """What all queues use and may use; pools whose workers aren't known yet are left out."""
-        self._weigh_old_jobs()
+        self._assign_missing_weights()
         pools = dict[str, PoolFigures]()
         for service in self._queues().by_service:
             room = self._context.room(service)
-            if not self._unknown(room):
+            if not self._workers_unknown(room):
                 pools[service] = self._pool(service, room)
         return QueueUsageReport(pools, self._context.next_order)
 
-    def _weigh_old_jobs(self) -> None:
+    def _assign_missing_weights(self) -> None:
         """Count jobs that came before their workers were known."""
         context = self._context
         unweighed, context.unweighed = context.unweighed, []
@@ -66,42 +66,42 @@
             else:
                 context.unweighed.append(job)
 
-    def _unknown(self, room: ServiceRoom) -> bool:
+    def _workers_unknown(self, room: ServiceCapacity) -> bool:
         """Whether it isn't known yet what workers there are."""
         context = self._context
         active_s = context.clock.now() - context.activated_at
-        return active_s < SETTLING_S or (not room.slots and active_s < context.figures.lapse_s)
+        return active_s < WORKER_DISCOVERY_S or (not room.slots and active_s < context.figures.lapse_s)
 
     def _queues(self) -> ServiceQueues:
         """The queues by the service whose workers they share; counted once for each configuration."""
         configuration = self._context.ports.configuration()
-        if configuration is not self._counted_of:
-            self._counted_of = configuration
-            self._counted = ServiceQueues(configuration)
-        return self._counted
+        if configuration is not self._counted_configuration:
+            self._counted_configuration = configuration
+            self._service_queues = ServiceQueues(configuration)
+        return self._service_queues
 
-    def _pool(self, service: str, room: ServiceRoom) -> PoolFigures:
+    def _pool(self, service: str, room: ServiceCapacity) -> PoolFigures:
         """What the queues of a service use and may use, and what there is."""
         queues = self._queues()
         idle = Counter(queues.by_service.get(service, NO_QUEUES))
         count = idle.total()
         busy = dict[str, QueueFigures]()
         for name, inflight in self._context.inflight.items():
-            route = queues.busy_route(name, service)
-            slots = round(inflight, SLOT_DIGITS)
+            route = queues.route_of_service(name, service)
+            slots = round(inflight, SLOT_DECIMALS)
             if route is not None and slots > 0.0:
                 busy[name] = QueueFigures(slots, route.priority)
                 idle[route.priority] -= 1
         return PoolFigures(
             capacity=float(room.slots),
-            queue_limit=round(LIMIT_PART * room.slots, SLOT_DIGITS),
-            queue_reservation=RESERVED_PART * room.slots / max(1, count),
+            queue_limit=round(QUEUE_LIMIT_FRACTION * room.slots, SLOT_DECIMALS),
+            queue_reservation=RESERVED_FRACTION * room.slots / max(1, count),
             busy=busy,
             idle=dict(idle),
             workers=room.workers,
-            cpu=room.capacity.cpu,
-            memory_mb=room.capacity.memory_mb,
-            gpu=room.capacity.gpu,
+            cpu=room.mean_worker.cpu,
+            memory_mb=room.mean_worker.memory_mb,
+            gpu=room.mean_worker.gpu,
             late_factor=LATE_FACTOR,
         )
 
@@ -117,7 +117,7 @@
         for route in routes:
             self.by_service.setdefault(route.service, Counter())[route.priority] += 1
 
-    def busy_route(self, name: str, service: str) -> Route | None:
+    def route_of_service(self, name: str, service: str) -> Route | None:
         """The route of that name, if it is one of the service's."""
         route = self._routes.get(name)
         return route if route is not None and route.service == service else None
--- a/pipitledge/scheduling/admission_rule.py
+++ b/pipitledge/scheduling/admission_rule.py
@@ -17,15 +17,15 @@
 from pipitledge.decision.admission import admit
 from pipitledge.scheduling.job import Stage, Submission, estimated_lengths_s, remaining_chains_s, waves_of
 
-LEAST_DEPTH = 4.0  # times its slots that a service takes in at least
-SHORTEST_RETRY_MS = 200
-LONGEST_RETRY_MS = 1_500
-LEAST_CHAIN_S = 1e-3
-NOTHING_LET_IN: Mapping[str, QueueFigures] = {}
+MIN_QUEUE_DEPTH = 4.0  # times its slots that a service takes in at least
+MIN_RETRY_AFTER_MS = 200
+MAX_RETRY_AFTER_MS = 1_500
+MIN_CHAIN_S = 1e-3
+NO_EXTRA_INFLIGHT: Mapping[str, QueueFigures] = {}
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class AdmissionDecision:
     """Whether a job is taken in; if not, when to come back."""
 
     admitted: bool
@@ -34,25 +34,25 @@
 
 
 def decide(
-    pool: PoolFigures, route: Route, submission: Submission, let_in: Mapping[str, QueueFigures] = NOTHING_LET_IN
-) -> Verdict:
+    pool: PoolFigures, route: Route, submission: Submission, let_in: Mapping[str, QueueFigures] = NO_EXTRA_INFLIGHT
+) -> AdmissionDecision:
     """Whether a job of that queue is taken in; `let_in`: by queue, what is in flight that `pool` doesn't contain."""
     pool = pool.with_more(let_in)
     weight = job_weight(submission, pool)
     own = pool.busy.get(route.name)
     if own is None or own.inflight <= 0.0:
-        return Verdict(True, weight)  # an idle queue's job is taken whatever its size
+        return AdmissionDecision(True, weight)  # an idle queue's job is taken whatever its size
     lengths = estimated_lengths_s(submission.stages, _waves(submission, pool))
     chain_s = max(remaining_chains_s(submission.stages, lengths))
-    turns = depth(route, chain_s, pool.late_factor)
+    turns = queue_depth(route, chain_s, pool.late_factor)
     capacity = pool.capacity * turns
     usages = pool.usages(max(route.priority, own.priority), turns)
     decision = admit(weight, route.name, usages, capacity)
     if decision.admitted:
-        return Verdict(True, weight)
+        return AdmissionDecision(True, weight)
     excess = max(0.0, own.inflight + weight - capacity) / max(1.0, pool.capacity)
-    retry_ms = int(min(LONGEST_RETRY_MS, max(SHORTEST_RETRY_MS, excess * chain_s * 1_000.0)))
-    return Verdict(False, weight, retry_ms)
+    retry_ms = int(min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, excess * chain_s * 1_000.0)))
+    return AdmissionDecision(False, weight, retry_ms)
 
 
 def job_weight(submission: Submission, pool: PoolFigures) -> float:
@@ -73,10 +73,10 @@
     return share
 
 
-def depth(route: Route, chain_s: float, late_factor: float) -> float:
+def queue_depth(route: Route, chain_s: float, late_factor: float) -> float:
     """How often the slots can be used up before a job that waits so long earns nothing."""
     objective_s = route.stretch * chain_s + route.target_latency_ms / 1_000.0
-    return max(LEAST_DEPTH, late_factor * objective_s / max(chain_s, LEAST_CHAIN_S))
+    return max(MIN_QUEUE_DEPTH, late_factor * objective_s / max(chain_s, MIN_CHAIN_S))
 
 
 def _waves(submission: Submission, pool: PoolFigures) -> tuple[float, ...]:
--- a/pipitledge/scheduling/context.py
+++ b/pipitledge/scheduling/context.py
@@ -12,10 +12,10 @@
 from pipitledge.runtime.ports import Clock, Network, Timer
 from pipitledge.runtime.settings import Bounds
 from pipitledge.scheduling.batch import Batch
-from pipitledge.scheduling.placement import Crowd
+from pipitledge.scheduling.placement import WorkerGroup
 from pipitledge.scheduling.queue_order import WorkQueue
 from pipitledge.scheduling.tasks import Job, Run, Step
-from pipitledge.scheduling.workers import ServiceRoom, Worker, room_of
+from pipitledge.scheduling.workers import ServiceCapacity, Worker, total_capacity
 from pipitledge.wire.messages import JobState
 
 PASS_DELAY_S = 0.002  # events of this time share one pass and one write
@@ -84,14 +84,14 @@
     """Workers that could be used, for a while."""
 
     until: float
-    crowd: Crowd
+    crowd: WorkerGroup
 
 
 class _Room(Struct):
     """Room of a service, for a while."""
 
     until: float
-    room: ServiceRoom
+    room: ServiceCapacity
 
 
 class Context:
@@ -183,11 +183,11 @@
         """The worker beside the agent of that name."""
         worker = self.workers.get(node)
         if worker is None:
-            held_until = self.activated_at + self.figures.lapse_s
-            worker = self.workers[node] = Worker(node, held_until=held_until)
+            leases_expire_at = self.activated_at + self.figures.lapse_s
+            worker = self.workers[node] = Worker(node, leases_expire_at=leases_expire_at)
         return worker
 
-    def usable_workers(self, service: str, now: float) -> Crowd:
+    def usable_workers(self, service: str, now: float) -> WorkerGroup:
         """Workers of a service that may get new tasks, room apart; avoided ones only if there are no others."""
         known = self._usable.get(service)
         if known is not None and now < known.until:
@@ -197,7 +197,7 @@
             worker for worker in self.workers.values() if worker.service == service and worker.usable(now, heartbeat_s)
         ]
         well = [worker for worker in usable if not worker.health.avoided(now) and not worker.health.slow(now)]
-        self._usable[service] = known = _Usable(now + USABLE_VALID_S, Crowd(well or usable, usable))
+        self._usable[service] = known = _Usable(now + USABLE_VALID_S, WorkerGroup(well or usable, usable))
         return known.crowd
 
     def usability_changed(self, worker: Worker) -> None:
@@ -205,7 +205,7 @@
         self._usable.pop(worker.service, None)
         self.dirty.add(worker)
 
-    def room(self, service: str) -> ServiceRoom:
+    def room(self, service: str) -> ServiceCapacity:
         """What the workers of a service that were heard of lately have in all."""
         now = self.clock.now()
         known = self._rooms.get(service)
@@ -216,5 +216,5 @@
             for worker in self.workers.values()
             if worker.service == service and worker.instance and now - worker.reported_at < ROOM_MEMORY_S
         ]
-        self._rooms[service] = known = _Room(now + ROOM_VALID_S, room_of(recent))
+        self._rooms[service] = known = _Room(now + ROOM_VALID_S, total_capacity(recent))
         return known.room
--- a/pipitledge/scheduling/copies.py
+++ b/pipitledge/scheduling/copies.py
@@ -10,11 +10,11 @@
 from pipitledge.scheduling.tasks import Run
 from pipitledge.scheduling.workers import Worker
 
-UNHEARD_S = 1.3  # an agent beside a busy worker reports every second
-MOST_BESIDE = 1  # runs of one task that are left to themselves at a time
+REPORT_OVERDUE_S = 1.3  # an agent beside a busy worker reports every second
+MAX_SUPERSEDED_RUNS = 1  # runs of one task that are left to themselves at a time
 
 
-class Copies:
+class SpeculativeCopies:
     """Has tasks run anew whose workers nothing is heard of."""
 
     def __init__(self, context: Context, lifecycle: Lifecycle) -> None:
@@ -26,15 +26,15 @@
         """Look at all workers that run something."""
         now = self._context.clock.now()
         for worker in list(self._context.workers.values()):
-            if worker.runs and self._out_of_touch(worker, now):
-                self._run_elsewhere(worker)
+            if worker.runs and self._is_unreachable(worker, now):
+                self._start_copies(worker)
 
-    def _out_of_touch(self, worker: Worker, now: float) -> bool:
+    def _is_unreachable(self, worker: Worker, now: float) -> bool:
         """Whether what becomes of the worker's runs can't be told just now."""
         heard_at = max(worker.reported_at, self._context.activated_at)
-        return worker.silent or worker.unreachable or now - heard_at > UNHEARD_S
+        return worker.silent or worker.unreachable or now - heard_at > REPORT_OVERDUE_S
 
-    def _run_elsewhere(self, worker: Worker) -> None:
+    def _start_copies(self, worker: Worker) -> None:
         copied = 0
         for run in list(worker.runs.values()):
             if _may_copy(run):
@@ -50,4 +50,4 @@
     step = task.step
     allowed = step.stage.speculative and not step.gang and not step.stage.long_running and step.job.open
     present = task.run is run and run.ordered and run.stop is None and not run.settled
-    return allowed and present and len(task.former) < MOST_BESIDE
+    return allowed and present and len(task.former) < MAX_SUPERSEDED_RUNS
--- a/pipitledge/scheduling/dispatcher.py
+++ b/pipitledge/scheduling/dispatcher.py
@@ -12,20 +12,20 @@
 from pipitledge.scheduling.context import Context
 from pipitledge.scheduling.lifecycle import Lifecycle
 from pipitledge.scheduling.orders import Orders
-from pipitledge.scheduling.placement import Crowd, Seeker, TaskPlacer, choose_gang
+from pipitledge.scheduling.placement import PlacementRequest, TaskPlacer, WorkerGroup, choose_gang_workers
 from pipitledge.scheduling.preemption import Preemption
 from pipitledge.scheduling.queue_order import WorkQueue
 from pipitledge.scheduling.tasks import Demand, Run, Step, Task
 from pipitledge.scheduling.workers import Worker
 
-GANGS_AT_ONCE = 3  # tried in a pass that isn't full
-FULL_PASS_EVERY_S = 0.25  # waits for near room, pauses and avoidances end unannounced
-PATIENCE_S = 1.0  # a task goes back to a worker where it failed if it finds no other for so long
-PRESSING_AFTER_S = 1.5  # of waiting, a step is let go anywhere, if most of its service is idle
-CAUTION_S = 0.4  # and so long it keeps away from workers where others have just failed
+MAX_GANGS_PER_PARTIAL_PASS = 3  # tried in a pass that isn't full
+FULL_PASS_INTERVAL_S = 0.25  # waits for near room, pauses and avoidances end unannounced
+NODE_AVOIDANCE_S = 1.0  # a task goes back to a worker where it failed if it finds no other for so long
+STARVING_AFTER_S = 1.5  # of waiting, a step is let go anywhere, if most of its service is idle
+SUSPECT_AVOIDANCE_S = 0.4  # and so long it keeps away from workers where others have just failed
 
 
-class _Misses:
+class _UnplaceableRequests:
     """Demands for which a pass has found no room, by label asked for."""
 
     def __init__(self) -> None:
@@ -68,12 +68,12 @@
         now = context.clock.now()
         full = now >= self._next_full_pass
         if full:
-            self._next_full_pass = now + FULL_PASS_EVERY_S
+            self._next_full_pass = now + FULL_PASS_INTERVAL_S
         fresh, context.fresh = context.fresh, set()
         dirty, context.dirty = context.dirty, set()
         for service, queue in context.queues.items():
             if len(queue):
-                self._serve(service, queue, fresh, dirty, full, now)
+                self._schedule_service(service, queue, fresh, dirty, full, now)
         self._write()
 
     # ---- writing and ordering
@@ -82,7 +82,7 @@
         """Write the batch; orders leave once it is committed."""
         context = self._context
         placed, context.placed = context.placed, []
-        written = context.batch.flush(lambda: _mark_committed(placed), lambda: self._order(placed))
+        written = context.batch.flush(lambda: _mark_committed(placed), lambda: self._send_orders(placed))
         if not written:
             context.placed = placed + context.placed
             context.retry_pass()
@@ -90,7 +90,7 @@
         for worker in _by_name(context.unsent):
             self._orders.push(worker)
 
-    def _order(self, placed: list[Run]) -> None:
+    def _send_orders(self, placed: list[Run]) -> None:
         """Send the orders for runs whose records are committed now."""
         context = self._context
         workers = {context.workers[run.node] for run in placed if run.task.run is run}
@@ -99,92 +99,97 @@
 
     # ---- placing
 
-    def _serve(
+    def _schedule_service(
         self, service: str, queue: WorkQueue, fresh: set[Step], dirty: set[Worker], full: bool, now: float
     ) -> None:
         """Place what waits for the workers of one service."""
-        everyone = self._context.usable_workers(service, now)
-        gained = Crowd([worker for worker in everyone.workers if worker in dirty])
+        usable = self._context.usable_workers(service, now)
+        gained = WorkerGroup([worker for worker in usable.workers if worker in dirty])
         if full:
             queue.reorder(now)
         steps = list(queue.in_order()) if full or gained else queue.sorted(fresh)
-        too_large = {True: _Misses(), False: _Misses()}  # of all workers, and of those that gained room
+        too_large = {
+            True: _UnplaceableRequests(),
+            False: _UnplaceableRequests(),
+        }  # of all workers, and of those that gained room
         gangs_tried = 0
-        idle = full and everyone.mostly_idle()
+        idle = full and usable.mostly_idle()
         for step in steps:
             whole = full or step in fresh
-            if idle and _is_pressing(step, now):
-                self._place_anywhere(step, queue, everyone.with_reserve(), now)
+            if idle and _is_starving(step, now):
+                self._place_starving(step, queue, usable.with_fallback(), now)
                 continue
             if step.gang and not whole:
                 gangs_tried += 1
-                if gangs_tried > GANGS_AT_ONCE:
+                if gangs_tried > MAX_GANGS_PER_PARTIAL_PASS:
                     continue
             if too_large[whole].covers(step):
-                self._block(step, now)
+                self._mark_blocked(step, now)
                 continue
-            if self._place(step, queue, everyone if whole else gained, everyone, now):
+            if self._place(step, queue, usable if whole else gained, usable, now):
                 continue
-            self._block(step, now)
+            self._mark_blocked(step, now)
             if not _constrained(step):
                 too_large[whole].add(step)
         if full or self._urgent_blocked(queue, fresh):
-            self._preemption.make_room(queue, everyone.workers, now)
+            self._preemption.handle_blocked_steps(queue, usable.workers, now)
 
     def _urgent_blocked(self, queue: WorkQueue, fresh: set[Step]) -> bool:
         """Whether one of the new steps is urgent and has found no room."""
         return any(queue.is_urgent(step) and step.blocked_since >= 0.0 for step in fresh)
 
-    def _place(self, step: Step, queue: WorkQueue, candidates: Crowd, everyone: Crowd, now: float) -> bool:
+    def _place(self, step: Step, queue: WorkQueue, candidates: WorkerGroup, usable: WorkerGroup, now: float) -> bool:
         """Place all tasks of the step that can be; False if one found no room."""
         if step.gang:
-            placed = self._place_gang(step, queue, candidates, everyone, now)
+            placed = self._place_gang(step, queue, candidates, usable, now)
         else:
-            placed = self._place_tasks(step, queue, candidates, everyone, now)
-        self._leave_if_placed(step, queue)
+            placed = self._place_tasks(step, queue, candidates, usable, now)
+        self._dequeue_if_placed(step, queue)
         return placed
 
-    def _place_anywhere(self, step: Step, queue: WorkQueue, everyone: Crowd, now: float) -> None:
+    def _place_starving(self, step: Step, queue: WorkQueue, usable: WorkerGroup, now: float) -> None:
         """Place what can be of a step that has waited long, whatever else speaks against a worker with room."""
         rank = queue.rank(step)
         assert rank is not None, "a step is placed while it waits"
-        seeker = Seeker(step, rank, now, pressing=True)
+        request = PlacementRequest(step, rank, now, starving=True)
         far_x = self._context.figures.bounds.far_x
         if step.gang:
-            self._assign_gang(step, seeker, everyone)
+            self._assign_gang(step, request, usable)
         else:
-            plain = TaskPlacer(seeker, everyone, everyone, far_x)
-            for task in _furthest_behind_first(step):
-                barred = _nodes_in_use(task)
-                beside = Seeker(step, rank, now, barred=barred, pressing=True)
-                placer = TaskPlacer(beside, everyone, everyone, far_x) if barred else plain
+            plain = TaskPlacer(request, usable, usable, far_x)
+            for task in _retries_first(step):
+                excluded_nodes = _nodes_with_superseded_runs(task)
+                beside = PlacementRequest(step, rank, now, excluded_nodes=excluded_nodes, starving=True)
+                placer = TaskPlacer(beside, usable, usable, far_x) if excluded_nodes else plain
                 worker = placer.best() if task.not_before <= now else None
                 if worker is not None:
                     self._lifecycle.assign(task, worker, task.last_run + 1)
-        self._leave_if_placed(step, queue)
+        self._dequeue_if_placed(step, queue)
         if step.waiting:
-            self._block(step, now)
+            self._mark_blocked(step, now)
 
-    def _leave_if_placed(self, step: Step, queue: WorkQueue) -> None:
+    def _dequeue_if_placed(self, step: Step, queue: WorkQueue) -> None:
         """A step of which nothing waits any more leaves the queue."""
         if not step.waiting:
             queue.remove(step)
-            self._preemption.satisfied(step)
+            self._preemption.release_reservations(step)
 
-    def _place_tasks(self, step: Step, queue: WorkQueue, candidates: Crowd, everyone: Crowd, now: float) -> bool:
+    def _place_tasks(
+        self, step: Step, queue: WorkQueue, candidates: WorkerGroup, usable: WorkerGroup, now: float
+    ) -> bool:
         """Place one task of the step after the other; False if one found no room."""
         rank = queue.rank(step)
         assert rank is not None, "a step is placed while it waits"
         far_x = self._context.figures.bounds.far_x
-        plain = TaskPlacer(Seeker(step, rank, now), candidates, everyone, far_x)
-        for task in _furthest_behind_first(step):
+        plain = TaskPlacer(PlacementRequest(step, rank, now), candidates, usable, far_x)
+        for task in _retries_first(step):
             if task.not_before > now:
                 continue
-            avoid, cautious = self._misgivings([task], now)
-            barred = _nodes_in_use(task)
-            choosy = bool(avoid or barred) or cautious
-            seeker = Seeker(step, rank, now, avoid, barred, cautious)
-            placer = TaskPlacer(seeker, candidates, everyone, far_x) if choosy else plain
+            avoided_nodes, avoid_suspects = self._nodes_to_avoid([task], now)
+            excluded_nodes = _nodes_with_superseded_runs(task)
+            choosy = bool(avoided_nodes or excluded_nodes) or avoid_suspects
+            request = PlacementRequest(step, rank, now, avoided_nodes, excluded_nodes, avoid_suspects)
+            placer = TaskPlacer(request, candidates, usable, far_x) if choosy else plain
             worker = placer.best()
             if worker is not None:
                 self._lifecycle.assign(task, worker, task.last_run + 1)
@@ -192,56 +197,60 @@
                 return False  # the others need the same
         return not step.waiting
 
-    def _place_gang(self, step: Step, queue: WorkQueue, candidates: Crowd, everyone: Crowd, now: float) -> bool:
+    def _place_gang(
+        self, step: Step, queue: WorkQueue, candidates: WorkerGroup, usable: WorkerGroup, now: float
+    ) -> bool:
         """Place a gang whole, or not at all."""
         rank = queue.rank(step)
         assert rank is not None, "a step is placed while it waits"
         if not candidates:
             return False
-        avoid, cautious = self._misgivings(step.tasks, now)
-        return self._assign_gang(step, Seeker(step, rank, now, avoid, cautious=cautious), everyone)
+        avoided_nodes, avoid_suspects = self._nodes_to_avoid(step.tasks, now)
+        return self._assign_gang(
+            step, PlacementRequest(step, rank, now, avoided_nodes, avoid_suspects=avoid_suspects), usable
+        )
 
-    def _assign_gang(self, step: Step, seeker: Seeker, everyone: Crowd) -> bool:
+    def _assign_gang(self, step: Step, request: PlacementRequest, usable: WorkerGroup) -> bool:
         """Give each member of a gang a worker, if all of them find one."""
-        if any(task.not_before > seeker.now for task in step.tasks):
+        if any(task.not_before > request.now for task in step.tasks):
             return False
-        workers = choose_gang(seeker, everyone, self._context.figures.bounds.far_x)
+        workers = choose_gang_workers(request, usable, self._context.figures.bounds.far_x)
         if workers is None:
             return False
-        number = gangs.next_number(step)
+        number = gangs.next_run_number(step)
         for task, worker in zip(step.tasks, workers, strict=True):
             self._lifecycle.assign(task, worker, number)
         return True
 
-    def _misgivings(self, tasks: Sequence[Task], now: float) -> tuple[set[str], bool]:
+    def _nodes_to_avoid(self, tasks: Sequence[Task], now: float) -> tuple[set[str], bool]:
         """Nodes that tasks had better keep away from, and whether from all suspects: not for ever."""
         first = tasks[0]
         waited = now - max(first.not_before, first.step.queued_at)
-        if waited > PATIENCE_S:
+        if waited > NODE_AVOIDANCE_S:
             return set(), False
-        avoid: set[str] = set()
+        avoided_nodes: set[str] = set()
         for task in tasks:
-            avoid |= task.avoided
+            avoided_nodes |= task.avoided
             if task.refused_by:
-                avoid.add(task.refused_by)
-        return avoid, waited <= CAUTION_S and any(task.failures > 0 for task in tasks)
+                avoided_nodes.add(task.refused_by)
+        return avoided_nodes, waited <= SUSPECT_AVOIDANCE_S and any(task.failures > 0 for task in tasks)
 
-    def _block(self, step: Step, now: float) -> None:
+    def _mark_blocked(self, step: Step, now: float) -> None:
         if step.blocked_since < 0.0:
             step.blocked_since = now
 
 
-def _is_pressing(step: Step, now: float) -> bool:
+def _is_starving(step: Step, now: float) -> bool:
     """Whether a step has found no room for so long that any worker will do."""
-    return step.blocked_since >= 0.0 and now - step.blocked_since >= PRESSING_AFTER_S
+    return step.blocked_since >= 0.0 and now - step.blocked_since >= STARVING_AFTER_S
 
 
-def _furthest_behind_first(step: Step) -> list[Task]:
+def _retries_first(step: Step) -> list[Task]:
     """The waiting tasks of a step; those that have failed, or are waited for elsewhere, are the furthest behind."""
     return sorted(step.waiting.values(), key=lambda task: -task.failures - len(task.former))
 
 
-def _nodes_in_use(task: Task) -> frozenset[str]:
+def _nodes_with_superseded_runs(task: Task) -> frozenset[str]:
     """Nodes where a run of the task still holds room, beside which a copy is wanted."""
     return frozenset(run.node for run in task.former)
 
--- a/pipitledge/scheduling/gangs.py
+++ b/pipitledge/scheduling/gangs.py
@@ -5,19 +5,19 @@
 from pipitledge.scheduling.tasks import Step
 
 
-def next_number(step: Step) -> int:
+def next_run_number(step: Step) -> int:
     """The number of a gang's next run: above that of each member's last."""
     return 1 + max(task.last_run for task in step.tasks)
 
 
-def failures(step: Step) -> int:
+def failure_count(step: Step) -> int:
     """How many of a gang's runs have failed; members that fail in one run count once."""
     return max(task.failures for task in step.tasks)
 
 
-def level(step: Step) -> None:
+def synchronize_members(step: Step) -> None:
     """Let all members of a gang that runs no more know the same."""
-    counted = failures(step)
+    counted = failure_count(step)
     saved = newest_checkpoint(step)
     avoided = set().union(*(task.avoided for task in step.tasks))
     for task in step.tasks:
--- a/pipitledge/scheduling/health.py
+++ b/pipitledge/scheduling/health.py
@@ -10,30 +10,30 @@
 import math
 from dataclasses import dataclass, field
 
-FAILURES_TO_AVOID = 3  # different tasks, at their first failure, beyond the successes since
-FIRST_AVOIDANCE_S = 2.0
-LONGEST_AVOIDANCE_S = 16.0
-TRIAL_SPACING_S = 1.0  # another task is tried after that, though the outcome of the one before isn't known
-UNWELL_AVOIDANCE_S = 0.7  # after it refused a start as unhealthy
-PACE_WEIGHT = 0.3  # of one sample
-SLOW_PACE = 0.4  # below it a worker counts as slow
-PACE_RANGE = (0.05, 2.0)  # of one sample: estimates are rough
-LEAST_SAMPLES = 3  # before its pace is believed
-PACE_VALID_S = 4.0  # after its last sample
+FAILURES_BEFORE_AVOIDANCE = 3  # different tasks, at their first failure, beyond the successes since
+MIN_AVOIDANCE_S = 2.0
+MAX_AVOIDANCE_S = 16.0
+TRIAL_TIMEOUT_S = 1.0  # another task is tried after that, though the outcome of the one before isn't known
+UNHEALTHY_AVOIDANCE_S = 0.7  # after it refused a start as unhealthy
+SPEED_SAMPLE_WEIGHT = 0.3  # of one sample
+SLOW_SPEED = 0.4  # below it a worker counts as slow
+SPEED_SAMPLE_RANGE = (0.05, 2.0)  # of one sample: estimates are rough
+MIN_SPEED_SAMPLES = 3  # before its pace is believed
+SPEED_VALID_S = 4.0  # after its last sample
 
 
 @dataclass(slots=True)
-class Health:
+class WorkerHealth:
     """What is known of one life of a worker."""
 
-    failed: dict[str, int] = field(default_factory=dict)  # failures by job, less the successes since
+    failures_by_job: dict[str, int] = field(default_factory=dict)  # failures by job, less the successes since
     avoid_until: float = 0.0
     avoidances: int = 0
     on_trial: bool = False
     trial_task: str = ""  # that is under way
     trial_at: float = -math.inf  # when it was placed
     failed_at: float = -math.inf
-    pace: float = 1.0  # work done per time, against the estimates
+    average_speed: float = 1.0  # work done per time, against the estimates
     samples: int = 0
     sampled_at: float = -math.inf
     stalled: bool = False
@@ -45,80 +45,80 @@
     @property
     def suspect(self) -> bool:
         """Whether more failed there lately than went well."""
-        return bool(self.failed) or self.on_trial
+        return bool(self.failures_by_job) or self.on_trial
 
     def trial_pending(self, now: float) -> bool:
         """Whether it is on trial and the outcome of the present one has to be waited for."""
-        return self.on_trial and bool(self.trial_task) and now - self.trial_at < TRIAL_SPACING_S
+        return self.on_trial and bool(self.trial_task) and now - self.trial_at < TRIAL_TIMEOUT_S
 
     def slow(self, now: float) -> bool:
         """Whether it is known to work far slower than the estimates."""
-        known = self.samples >= LEAST_SAMPLES and now - self.sampled_at < PACE_VALID_S
-        return known and self.pace < SLOW_PACE
+        known = self.samples >= MIN_SPEED_SAMPLES and now - self.sampled_at < SPEED_VALID_S
+        return known and self.average_speed < SLOW_SPEED
 
     @property
     def speed(self) -> float:
         """Its pace as far as it is believed."""
-        return self.pace if self.samples >= LEAST_SAMPLES else 1.0
+        return self.average_speed if self.samples >= MIN_SPEED_SAMPLES else 1.0
 
-    def note_failure(self, job: str, now: float) -> bool:
+    def record_failure(self, job: str, now: float) -> bool:
         """A task failed there for its first time; whether the worker is avoided from now on."""
         self.failed_at = now
-        self.failed[job] = self.failed.get(job, 0) + 1
+        self.failures_by_job[job] = self.failures_by_job.get(job, 0) + 1
         if self.avoided(now):
             return False
-        if not self.on_trial and self._failures() < FAILURES_TO_AVOID:
+        if not self.on_trial and self._failure_count() < FAILURES_BEFORE_AVOIDANCE:
             return False
         self.avoid(now)
         return True
 
     def avoid(self, now: float) -> None:
         """Give it nothing for a while, longer each time."""
-        self.avoid_until = now + min(LONGEST_AVOIDANCE_S, FIRST_AVOIDANCE_S * 2.0**self.avoidances)
+        self.avoid_until = now + min(MAX_AVOIDANCE_S, MIN_AVOIDANCE_S * 2.0**self.avoidances)
         self.avoidances += 1
         self.on_trial = True
 
-    def note_unwell(self, now: float) -> None:
+    def record_unhealthy(self, now: float) -> None:
         """It called itself unhealthy: leave it alone for a moment."""
-        self.avoid_until = max(self.avoid_until, now + UNWELL_AVOIDANCE_S)
+        self.avoid_until = max(self.avoid_until, now + UNHEALTHY_AVOIDANCE_S)
         self.on_trial = True
 
-    def note_success(self, placed_at: float) -> None:
+    def record_success(self, placed_at: float) -> None:
         """A task that was placed there at that time ended well."""
         if placed_at >= self.failed_at:  # else it may have turned bad since
-            self.failed.clear()
+            self.failures_by_job.clear()
             self.avoidances = max(0, self.avoidances - 1)
             self.on_trial = False
             self.stalled = False
         elif not self.on_trial:
             self._offset_failure()
 
-    def pardon(self, job: str) -> None:
+    def discard_failures(self, job: str) -> None:
         """The failures of that job turned out to be its own."""
-        if self.failed.pop(job, None) is None or self.stalled:
+        if self.failures_by_job.pop(job, None) is None or self.stalled:
             return
-        if self._failures() < FAILURES_TO_AVOID:
+        if self._failure_count() < FAILURES_BEFORE_AVOIDANCE:
             self.avoid_until = 0.0
             self.on_trial = False
             self.avoidances = max(0, self.avoidances - 1)
 
-    def note_pace(self, sample: float, now: float) -> None:
+    def record_speed(self, sample: float, now: float) -> None:
         """Some work was done at that pace."""
-        low, high = PACE_RANGE
-        if now - self.sampled_at >= PACE_VALID_S:
-            self.pace, self.samples = 1.0, 0  # what was known is old
+        low, high = SPEED_SAMPLE_RANGE
+        if now - self.sampled_at >= SPEED_VALID_S:
+            self.average_speed, self.samples = 1.0, 0  # what was known is old
         self.sampled_at = now
-        self.pace += PACE_WEIGHT * (min(high, max(low, sample)) - self.pace)
+        self.average_speed += SPEED_SAMPLE_WEIGHT * (min(high, max(low, sample)) - self.average_speed)
         self.samples += 1
 
-    def _failures(self) -> int:
-        return sum(self.failed.values())
+    def _failure_count(self) -> int:
+        return sum(self.failures_by_job.values())
 
     def _offset_failure(self) -> None:
         """Let a success make up for one failure."""
-        job = next(iter(self.failed), None)
+        job = next(iter(self.failures_by_job), None)
         if job is None:
             return
-        self.failed[job] -= 1
-        if not self.failed[job]:
-            del self.failed[job]
+        self.failures_by_job[job] -= 1
+        if not self.failures_by_job[job]:
+            del self.failures_by_job[job]
--- a/pipitledge/scheduling/evidence.py
+++ b/pipitledge/scheduling/health_tracker.py
@@ -3,43 +3,43 @@
 from __future__ import annotations
 
 from pipitledge.scheduling.context import Context
-from pipitledge.scheduling.objectives import START_S
+from pipitledge.scheduling.objectives import START_DELAY_S
 from pipitledge.scheduling.tasks import Ending, Run
 from pipitledge.scheduling.workers import Worker
 
-SUSPECT_NODES = 3  # a job that fails on so many nodes is to blame itself
-HEALTHY_ENDINGS = (Ending.DONE, Ending.FAILED)
+JOB_FAULT_NODES = 3  # a job that fails on so many nodes is to blame itself
+HEALTH_OUTCOMES = (Ending.DONE, Ending.FAILED)
 
 
-class Evidence:
+class HealthTracker:
     """Learns how well workers do."""
 
     def __init__(self, context: Context) -> None:
         """Work on the shared state."""
         self._context = context
 
-    def judge(self, run: Run, ending: Ending) -> None:
+    def record_outcome(self, run: Run, ending: Ending) -> None:
         """Learn from an end how well its worker does."""
-        if run.task.step.stage.long_running or ending not in HEALTHY_ENDINGS:
+        if run.task.step.stage.long_running or ending not in HEALTH_OUTCOMES:
             return
         worker = self._context.workers[run.node]
         if worker.instance != run.instance:
             return
         if ending is Ending.DONE:
-            worker.health.note_success(run.placed_at)
-            self._note_pace_of_done(run, worker)
+            worker.health.record_success(run.placed_at)
+            self._record_speed_of_done(run, worker)
         else:
-            self._blame(run, worker)
+            self._attribute_failure(run, worker)
 
-    def _note_pace_of_done(self, run: Run, worker: Worker) -> None:
+    def _record_speed_of_done(self, run: Run, worker: Worker) -> None:
         """A run that ended well tells how fast its worker is."""
         now = self._context.clock.now()
         self._context.progressed.setdefault(worker.service, {})[worker.node] = now
-        elapsed_s = now - run.placed_at - START_S
+        elapsed_s = now - run.placed_at - START_DELAY_S
         if not run.resume and elapsed_s > 0.0:
-            self.note_pace(run, worker, 1.0 / elapsed_s)
+            self.record_speed(run, worker, 1.0 / elapsed_s)
 
-    def note_pace(self, run: Run, worker: Worker, rate: float) -> None:
+    def record_speed(self, run: Run, worker: Worker, rate: float) -> None:
         """A run does so much of its work per second: compare that with its estimate."""
         context = self._context
         now = context.clock.now()
@@ -50,21 +50,21 @@
         if stage.affinity and stage.affinity not in worker.labels:
             pace *= context.figures.bounds.far_x
         was_slow = worker.health.slow(now)
-        worker.health.note_pace(pace, now)
+        worker.health.record_speed(pace, now)
         if worker.health.slow(now) != was_slow:
             context.usability_changed(worker)
 
-    def _blame(self, run: Run, worker: Worker) -> None:
+    def _attribute_failure(self, run: Run, worker: Worker) -> None:
         """Blame a failed end on its worker, unless its job fails everywhere."""
         task = run.task
         job = task.step.job
         job.failed_nodes.add(run.node)
         failed_elsewhere = bool(task.avoided - {run.node})
-        if failed_elsewhere or len(job.failed_nodes) >= SUSPECT_NODES:
+        if failed_elsewhere or len(job.failed_nodes) >= JOB_FAULT_NODES:
             for node in job.failed_nodes:
                 suspect = self._context.workers.get(node)
                 if suspect is not None:
-                    suspect.health.pardon(job.id)
+                    suspect.health.discard_failures(job.id)
             return
-        if worker.health.note_failure(job.id, self._context.clock.now()):
+        if worker.health.record_failure(job.id, self._context.clock.now()):
             self._context.log.warning("worker_avoided", peer=worker.node, reason="tasks fail there")
--- a/pipitledge/scheduling/lifecycle.py
+++ b/pipitledge/scheduling/lifecycle.py
@@ -7,8 +7,8 @@
 
 from pipitledge.scheduling import gangs
 from pipitledge.scheduling.context import Context
-from pipitledge.scheduling.evidence import Evidence
-from pipitledge.scheduling.objectives import START_S, Objectives
+from pipitledge.scheduling.health_tracker import HealthTracker
+from pipitledge.scheduling.objectives import START_DELAY_S, Objectives
 from pipitledge.scheduling.records import job_key, job_value, task_key, task_value
 from pipitledge.scheduling.tasks import Ending, Job, Run, Step, StopCause, Task, new_step
 from pipitledge.scheduling.workers import Worker
@@ -30,7 +30,7 @@
         """Work on the shared state."""
         self._context = context
         self._objectives = Objectives(context)
-        self.evidence = Evidence(context)
+        self.evidence = HealthTracker(context)
         self._timed: list[tuple[int, str]] = []  # heap of (due time of day, job)
         self._retiring: deque[tuple[float, str]] = deque()  # (when, ended job)
 
@@ -105,7 +105,7 @@
         job.undone_steps[time] = len(stages)
         for index in range(len(stages)):
             job.steps[time, index] = new_step(job, time, index)
-        self._objectives.begin(job, time)
+        self._objectives.set_initial_deadlines(job, time)
 
     def complete_if_done(self, job: Job) -> None:
         """A job is completed once all of its times are."""
@@ -248,7 +248,7 @@
         run = Run(task, number, worker.node, worker.instance, now, resume=task.saved, saved=task.saved)
         run.saved_at = run.progressed_at = now
         if not run.resume:
-            run.first_percent_at = now + START_S
+            run.first_percent_at = now + START_DELAY_S
         task.refused_by = ""
         task.phase = TaskPhase.ASSIGNED
         task.last_run = number
@@ -297,8 +297,8 @@
             return
         if run.settled:
             return
-        self._objectives.observe(run, ending)
-        self.evidence.judge(run, ending)
+        self._objectives.record_duration(run, ending)
+        self.evidence.record_outcome(run, ending)
         if is_former:
             self._former_ended(run, ending)
         elif step.gang:
@@ -435,7 +435,7 @@
         for other in list(step.runs()):
             self.request_stop(other, StopCause.GANG_BROKEN)
         if not any(True for _ in step.runs()):
-            gangs.level(step)
+            gangs.synchronize_members(step)
             pause_s = REFUSAL_PAUSE_S if ending is Ending.REFUSED else FAILURE_PAUSE_S
             for member in step.tasks:
                 member.not_before = self._context.clock.now() + pause_s
@@ -467,10 +467,10 @@
             self._context.dirty.add(worker)
             self._context.request_pass()
 
-    def end_life(self, worker: Worker, instance: str) -> None:
+    def end_instance(self, worker: Worker, instance: str) -> None:
         """A life of a worker is over, and with it all that it ran."""
         self._context.usability_changed(worker)
-        worker.end_life(instance)
+        worker.end_instance(instance)
         for run in list(worker.runs.values()):
             if run.instance == instance:
                 self.run_ended(run, Ending.LIFE_OVER)
--- a/pipitledge/scheduling/objectives.py
+++ b/pipitledge/scheduling/objectives.py
@@ -13,11 +13,11 @@
 from pipitledge.scheduling.workers import Worker
 
 LATE_FACTOR = 3.0  # up to so many times its objective a job still earns a little
-START_S = 0.03  # from its placing until a run begins
-MOST_BEYOND_ESTIMATE = (
+START_DELAY_S = 0.03  # from its placing until a run begins
+MAX_ESTIMATE_OVERRUN = (
     3.0  # times its estimate that a run counts for: a longer one tells of its worker, not of its work
 )
-OWN_ENDINGS = (Ending.DONE, Ending.FAILED)
+DURATION_OUTCOMES = (Ending.DONE, Ending.FAILED)
 
 
 class Objectives:
@@ -27,29 +27,29 @@
         """Work on the shared state."""
         self._context = context
 
-    def begin(self, job: Job, time: int) -> None:
+    def set_initial_deadlines(self, job: Job, time: int) -> None:
         """Set the deadlines of one of the job's times, which has come due."""
-        begun_at = self._begin_of(job, time)
+        begun_at = self._requested_at(job, time)
         for index in range(len(job.submission.stages)):
             job.steps[time, index].begun_at = begun_at
-        self._reckon(job, time)
+        self._update_deadlines(job, time)
 
-    def observe(self, run: Run, ending: Ending) -> None:
+    def record_duration(self, run: Run, ending: Ending) -> None:
         """Learn from the end of a run how long its step takes."""
         step = run.task.step
-        if ending not in OWN_ENDINGS or step.stage.long_running or run.resume:
+        if ending not in DURATION_OUTCOMES or step.stage.long_running or run.resume:
             return
         task = run.task
-        task.worked_s += self._work_s(run)
+        task.worked_s += self._normalized_work_s(run)
         step.longest_s = max(step.longest_s, task.worked_s)
         if ending is Ending.DONE:
             step.ended += 1
             step.ended_s += task.worked_s
-        self._reckon(step.job, step.time)
+        self._update_deadlines(step.job, step.time)
 
     # ---- what a job takes
 
-    def _reckon(self, job: Job, time: int) -> None:
+    def _update_deadlines(self, job: Job, time: int) -> None:
         """Set the deadlines by what is known now."""
         route = self._context.route(job.route)
         stretch = route.stretch if route is not None else 1.0
@@ -57,7 +57,7 @@
         stages = job.submission.stages
         steps = [job.steps[time, index] for index in range(len(stages))]
         waves = self._waves(job)
-        lengths = [_length_s(step) * max(1.0, turns) for step, turns in zip(steps, waves, strict=True)]
+        lengths = [_longest_task_s(step) * max(1.0, turns) for step, turns in zip(steps, waves, strict=True)]
         chains = remaining_chains_s(stages, lengths)
         objective_s = stretch * max(chains) + target_s
         drain_s = self._drain_s(steps)
@@ -67,7 +67,7 @@
             step.latest_start = step.deadline - chain
             step.drain_s = drain_s
 
-    def _begin_of(self, job: Job, time: int) -> float:
+    def _requested_at(self, job: Job, time: int) -> float:
         """When (steady time) the work of one time was asked for."""
         due_ms = job.submission.due_ms(time)
         if not due_ms:
@@ -86,20 +86,20 @@
         room = self._context.room(steps[0].job.service)
         if not room.workers:
             return 0.0
-        return sum(step.undone * room.share_of(step.demand) * _usual_s(step) for step in steps) / room.workers
+        return sum(step.undone * room.share_of(step.demand) * _mean_task_s(step) for step in steps) / room.workers
 
     # ---- what a run took
 
-    def _work_s(self, run: Run) -> float:
+    def _normalized_work_s(self, run: Run) -> float:
         """How long a run would have taken on a sound worker near its data."""
         stage = run.task.step.stage
-        elapsed_s = max(0.0, self._context.clock.now() - run.placed_at - START_S)
+        elapsed_s = max(0.0, self._context.clock.now() - run.placed_at - START_DELAY_S)
         worker = self._context.workers.get(run.node)
         if worker is not None:
             elapsed_s *= min(1.0, worker.health.speed)
             if _is_far(run.task.step, worker):
                 elapsed_s /= max(1.0, self._context.figures.bounds.far_x)
-        return min(elapsed_s, MOST_BEYOND_ESTIMATE * stage.estimate_s)
+        return min(elapsed_s, MAX_ESTIMATE_OVERRUN * stage.estimate_s)
 
 
 def _is_far(step: Step, worker: Worker) -> bool:
@@ -107,11 +107,11 @@
     return bool(step.stage.affinity) and step.stage.affinity not in worker.labels
 
 
-def _length_s(step: Step) -> float:
+def _longest_task_s(step: Step) -> float:
     """How long the longest of a step's tasks takes, as far as is known."""
-    return max(step.longest_s, _usual_s(step))
+    return max(step.longest_s, _mean_task_s(step))
 
 
-def _usual_s(step: Step) -> float:
+def _mean_task_s(step: Step) -> float:
     """How long a step's tasks take in the mean: by those that have ended, else by the estimate."""
     return step.ended_s / step.ended if step.ended else step.stage.estimate_s
--- a/pipitledge/scheduling/orders.py
+++ b/pipitledge/scheduling/orders.py
@@ -93,9 +93,9 @@
         for run in worker.runs.values():
             if run.instance == worker.instance:
                 self._order(run, now, orders)
-        for key, sent_at in worker.foreign_stops.items():
+        for key, sent_at in worker.unexpected_stops_sent_at.items():
             if now - sent_at >= REPEAT_AFTER_S:
-                worker.foreign_stops[key] = now
+                worker.unexpected_stops_sent_at[key] = now
                 orders.stops.append(StopOrder(task=key[0], run=key[1]))
         return orders
 
--- a/pipitledge/scheduling/preemption.py
+++ b/pipitledge/scheduling/preemption.py
@@ -12,24 +12,24 @@
 
 from pipitledge.scheduling.context import Context
 from pipitledge.scheduling.lifecycle import Lifecycle
-from pipitledge.scheduling.placement import racks_by_room
-from pipitledge.scheduling.queue_order import URGENT_PRIORITY, Band, Rank, WorkQueue
+from pipitledge.scheduling.placement import racks_by_free_cpu
+from pipitledge.scheduling.queue_order import URGENT_PRIORITY, DeadlineClass, Rank, WorkQueue
 from pipitledge.scheduling.tasks import Run, Step, StopCause
-from pipitledge.scheduling.workers import Claim, Worker
-
-URGENT_AT_ONCE = 4  # steps for which others are stopped in one pass
-VICTIMS_PER_WORKER_S = 0.5  # rate at which runs are stopped, by workers
-MOST_VICTIMS_AT_ONCE = 8.0
-SPARED_FOR_S = 6.0  # a task that was stopped for another isn't stopped again so soon
-NEARLY_DONE = 90.0  # percent: such a run is let be
-WORTH_PART = 3.0  # work lost for a task, against the work that the task is
-GPU_CORES = 8.0  # a GPU counts as so many cores
-CLAIM_AFTER_S = 0.5  # of waiting for room, a gang keeps workers free
-CLAIM_SINGLE_AFTER_S = 1.5  # and a single task
-CLAIM_ESTIMATES = 1.5  # times its estimate that it may keep them
-LONGEST_CLAIM_S = 10.0
+from pipitledge.scheduling.workers import Reservation, Worker
+
+MAX_URGENT_STEPS_PER_PASS = 4  # steps for which others are stopped in one pass
+VICTIMS_PER_WORKER_PER_S = 0.5  # rate at which runs are stopped, by workers
+MIN_VICTIM_BURST = 8.0
+PREEMPTION_COOLDOWN_S = 6.0  # a task that was stopped for another isn't stopped again so soon
+NEARLY_DONE_PERCENT = 90.0  # percent: such a run is let be
+MAX_LOSS_RATIO = 3.0  # work lost for a task, against the work that the task is
+CORES_PER_GPU = 8.0  # a GPU counts as so many cores
+GANG_RESERVATION_DELAY_S = 0.5  # of waiting for room, a gang keeps workers free
+TASK_RESERVATION_DELAY_S = 1.5  # and a single task
+RESERVATION_ESTIMATE_FACTOR = 1.5  # times its estimate that it may keep them
+MAX_RESERVATION_S = 10.0
 STOP_SLACK_S = 0.5
-RESTART_S = 0.5  # that a run takes until it is at work again
+RESTART_COST_S = 0.5  # that a run takes until it is at work again
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,54 +48,54 @@
         """Work on the shared state."""
         self._context = context
         self._lifecycle = lifecycle
-        self._allowance = MOST_VICTIMS_AT_ONCE
-        self._allowed_at = 0.0
-        self._claimants: dict[str, Step] = {}  # by service, the step that keeps workers free for long
-        self._holders: set[Step] = set()  # steps with any claim
+        self._allowance = MIN_VICTIM_BURST
+        self._allowance_updated_at = 0.0
+        self._reservation_owners: dict[str, Step] = {}  # by service, the step that keeps workers free for long
+        self._steps_with_reservations: set[Step] = set()  # steps with any claim
 
     def clear(self) -> None:
         """Forget everything."""
-        self._allowance = MOST_VICTIMS_AT_ONCE
-        self._allowed_at = 0.0
-        self._claimants.clear()
-        self._holders.clear()
+        self._allowance = MIN_VICTIM_BURST
+        self._allowance_updated_at = 0.0
+        self._reservation_owners.clear()
+        self._steps_with_reservations.clear()
 
-    def make_room(self, queue: WorkQueue, workers: Sequence[Worker], now: float) -> None:
+    def handle_blocked_steps(self, queue: WorkQueue, workers: Sequence[Worker], now: float) -> None:
         """See what the steps that found no room may do about it."""
-        self._renew_allowance(now)
+        self._refill_allowance(now)
         urgent = 0
-        may_claim = True
+        may_reserve = True
         for step in queue.in_order():
             rank = queue.rank(step)
-            if rank is None or step.blocked_since < 0.0 or rank[1] == Band.NOTHING:
+            if rank is None or step.blocked_since < 0.0 or rank[1] == DeadlineClass.EXPIRED:
                 continue
             waited = now - step.blocked_since
-            if rank[0] == URGENT_PRIORITY and not step.gang and urgent < URGENT_AT_ONCE:
+            if rank[0] == URGENT_PRIORITY and not step.gang and urgent < MAX_URGENT_STEPS_PER_PASS:
                 urgent += 1
                 self._preempt_for(step, rank, workers, now)
-            if may_claim and waited >= (CLAIM_AFTER_S if step.gang else CLAIM_SINGLE_AFTER_S):
-                may_claim = False
-                self._claim_for(step, rank, workers, now)
+            if may_reserve and waited >= (GANG_RESERVATION_DELAY_S if step.gang else TASK_RESERVATION_DELAY_S):
+                may_reserve = False
+                self._reserve_for(step, rank, workers, now)
 
-    def satisfied(self, step: Step) -> None:
+    def release_reservations(self, step: Step) -> None:
         """A step waits no more: what it kept free is open to all."""
-        if step not in self._holders:
+        if step not in self._steps_with_reservations:
             return
-        self._holders.discard(step)
-        if self._claimants.get(step.job.service) is step:
-            del self._claimants[step.job.service]
+        self._steps_with_reservations.discard(step)
+        if self._reservation_owners.get(step.job.service) is step:
+            del self._reservation_owners[step.job.service]
         for worker in self._context.workers.values():
-            if worker.claim is not None and worker.claim.step is step:
-                worker.claim = None
+            if worker.reservation is not None and worker.reservation.step is step:
+                worker.reservation = None
                 self._context.dirty.add(worker)
 
     # ---- stopping others
 
-    def _renew_allowance(self, now: float) -> None:
-        passed = min(1.0, now - self._allowed_at)
-        self._allowed_at = now
-        rate = VICTIMS_PER_WORKER_S * max(4, len(self._context.workers))
-        self._allowance = min(max(MOST_VICTIMS_AT_ONCE, rate), self._allowance + passed * rate)
+    def _refill_allowance(self, now: float) -> None:
+        passed = min(1.0, now - self._allowance_updated_at)
+        self._allowance_updated_at = now
+        rate = VICTIMS_PER_WORKER_PER_S * max(4, len(self._context.workers))
+        self._allowance = min(max(MIN_VICTIM_BURST, rate), self._allowance + passed * rate)
 
     def _preempt_for(self, step: Step, rank: Rank, workers: Sequence[Worker], now: float) -> None:
         """Stop lower-ranked runs for the tasks of an urgent step."""
@@ -103,37 +103,41 @@
             return
         until = now + self._context.figures.stop_s + STOP_SLACK_S
         for _ in range(len(step.waiting)):
-            eviction = self._cheapest(step, workers, now)
+            eviction = self._cheapest_eviction(step, workers, now)
             if eviction is None or len(eviction.victims) > self._allowance:
                 return
             self._allowance -= len(eviction.victims)
             step.next_preemption = until
-            eviction.worker.claim = Claim(step, rank, until)
-            self._holders.add(step)
+            eviction.worker.reservation = Reservation(step, rank, until)
+            self._steps_with_reservations.add(step)
             for run in eviction.victims:
                 run.task.preempted_at = now
                 self._lifecycle.request_stop(run, StopCause.PREEMPTED)
             self._context.log.info("preempted", peer=eviction.worker.node, runs=len(eviction.victims), job=step.job.id)
 
-    def _cheapest(self, step: Step, workers: Sequence[Worker], now: float) -> _Eviction | None:
+    def _cheapest_eviction(self, step: Step, workers: Sequence[Worker], now: float) -> _Eviction | None:
         """The worker where room for one task costs the least work."""
-        most = WORTH_PART * core_seconds(step, step.stage.estimate_s)
+        most = MAX_LOSS_RATIO * core_seconds(step, step.stage.estimate_s)
         best: _Eviction | None = None
         for worker in workers:
-            if worker.claim is not None and now < worker.claim.until:
+            if worker.reservation is not None and now < worker.reservation.until:
                 continue
-            if worker.fits(step.demand) or not _suits(step, worker) or not worker.could_fit(step.demand):
+            if (
+                worker.fits(step.demand)
+                or not _meets_constraints(step, worker)
+                or not worker.fits_when_empty(step.demand)
+            ):
                 continue
-            eviction = self._evict(step, worker, now)
+            eviction = self._plan_eviction(step, worker, now)
             if eviction is None or eviction.loss > most:
                 continue
             if best is None or eviction.loss < best.loss:
                 best = eviction
         return best
 
-    def _evict(self, step: Step, worker: Worker, now: float) -> _Eviction | None:
+    def _plan_eviction(self, step: Step, worker: Worker, now: float) -> _Eviction | None:
         """The runs to stop on a worker, those that lose least first; None if it can't be done."""
-        victims = [run for run in worker.runs.values() if self._may_stop(run, worker, now)]
+        victims = [run for run in worker.runs.values() if self._is_preemptible(run, worker, now)]
         victims.sort(key=lambda run: unsaved_work(run, now))
         chosen: list[Run] = []
         loss = 0.0
@@ -147,7 +151,7 @@
                 return _Eviction(worker, tuple(chosen), loss)
         return None
 
-    def _may_stop(self, run: Run, worker: Worker, now: float) -> bool:
+    def _is_preemptible(self, run: Run, worker: Worker, now: float) -> bool:
         """Whether a run may be stopped for an urgent task."""
         step = run.task.step
         return (
@@ -155,45 +159,45 @@
             and run.stop is None
             and not run.settled
             and self._context.priority_of(step) > URGENT_PRIORITY
-            and now - run.task.preempted_at >= SPARED_FOR_S
-            and run.percent < NEARLY_DONE
+            and now - run.task.preempted_at >= PREEMPTION_COOLDOWN_S
+            and run.percent < NEARLY_DONE_PERCENT
         )
 
     # ---- keeping workers free
 
-    def _claim_for(self, step: Step, rank: Rank, workers: Sequence[Worker], now: float) -> None:
+    def _reserve_for(self, step: Step, rank: Rank, workers: Sequence[Worker], now: float) -> None:
         """Keep workers free for a step, if no other of its service does."""
         service = step.job.service
-        holder = self._claimants.get(service)
-        if holder is not None and any(_claimed_by(worker, holder, now) for worker in workers):
+        holder = self._reservation_owners.get(service)
+        if holder is not None and any(_reserved_by(worker, holder, now) for worker in workers):
             return
         if now < step.no_claim_before:
             return
-        chosen = _most_promising(step, workers, now)
+        chosen = _workers_to_reserve(step, workers, now)
         if not chosen:
             return
-        lasts = min(LONGEST_CLAIM_S, 1.0 + CLAIM_ESTIMATES * step.stage.estimate_s)
+        lasts = min(MAX_RESERVATION_S, 1.0 + RESERVATION_ESTIMATE_FACTOR * step.stage.estimate_s)
         step.no_claim_before = now + 2.0 * lasts
-        self._claimants[service] = step
-        self._holders.add(step)
+        self._reservation_owners[service] = step
+        self._steps_with_reservations.add(step)
         for worker in chosen:
-            worker.claim = Claim(step, rank, now + lasts)
+            worker.reservation = Reservation(step, rank, now + lasts)
 
 
 def core_seconds(step: Step, seconds: float) -> float:
     """Work that one task of a step does in so many seconds, a GPU counting as several cores."""
-    return (step.demand.cpu / 1_000.0 + GPU_CORES * step.demand.gpu) * seconds
+    return (step.demand.cpu / 1_000.0 + CORES_PER_GPU * step.demand.gpu) * seconds
 
 
 def unsaved_work(run: Run, now: float) -> float:
     """Core-seconds that are lost if a run is stopped now, with its gang if it has one."""
     step = run.task.step
     kept = step.stage.long_running or step.stage.checkpoints  # a stop renews the checkpoint
-    lost_s = RESTART_S if kept else RESTART_S + now - run.placed_at
+    lost_s = RESTART_COST_S if kept else RESTART_COST_S + now - run.placed_at
     return core_seconds(step, lost_s) * (len(step.tasks) if step.gang else 1)
 
 
-def _suits(step: Step, worker: Worker) -> bool:
+def _meets_constraints(step: Step, worker: Worker) -> bool:
     """Whether a step's tasks may run on a worker, room apart."""
     stage = step.stage
     if stage.node_selector and stage.node_selector not in worker.labels:
@@ -201,26 +205,26 @@
     return not stage.anti_affinity or step.on_node.get(worker.node, 0) < stage.anti_affinity
 
 
-def _claimed_by(worker: Worker, step: Step, now: float) -> bool:
-    claim = worker.claim
-    return claim is not None and claim.step is step and now < claim.until
+def _reserved_by(worker: Worker, step: Step, now: float) -> bool:
+    reservation = worker.reservation
+    return reservation is not None and reservation.step is step and now < reservation.until
 
 
-def _most_promising(step: Step, workers: Sequence[Worker], now: float) -> list[Worker]:
+def _workers_to_reserve(step: Step, workers: Sequence[Worker], now: float) -> list[Worker]:
     """The workers that will soonest have room for the whole step if nothing new starts there."""
-    suited = [worker for worker in workers if _suits(step, worker) and worker.could_fit(step.demand)]
-    unclaimed = [worker for worker in suited if worker.claim is None or now >= worker.claim.until]
+    suited = [worker for worker in workers if _meets_constraints(step, worker) and worker.fits_when_empty(step.demand)]
+    unclaimed = [worker for worker in suited if worker.reservation is None or now >= worker.reservation.until]
     if not step.gang:
-        return sorted(unclaimed, key=_fullness)[:1]
-    groups = racks_by_room(unclaimed) if step.stage.same_rack else []
+        return sorted(unclaimed, key=_utilization)[:1]
+    groups = racks_by_free_cpu(unclaimed) if step.stage.same_rack else []
     for group in [*groups, unclaimed]:
-        chosen = _enough_for(step, sorted(group, key=_fullness))
+        chosen = _first_sufficient(step, sorted(group, key=_utilization))
         if chosen:
             return chosen
     return []
 
 
-def _enough_for(step: Step, workers: Sequence[Worker]) -> list[Worker]:
+def _first_sufficient(step: Step, workers: Sequence[Worker]) -> list[Worker]:
     """The first of the workers that would together hold all tasks if they were empty."""
     chosen: list[Worker] = []
     room = 0
@@ -240,7 +244,7 @@
     return min(room, step.stage.anti_affinity) if step.stage.anti_affinity else room
 
 
-def _fullness(worker: Worker) -> float:
+def _utilization(worker: Worker) -> float:
     """The share of a worker that is in use."""
     capacity = worker.capacity
     shares = [1.0 - worker.free_cpu / capacity.cpu] if capacity.cpu else [0.0]
--- a/pipitledge/scheduling/queue_order.py
+++ b/pipitledge/scheduling/queue_order.py
@@ -16,27 +16,29 @@
 Rank = tuple[int, int, float, int, int, int]  # priority, band, latest start, order of the job, time, step
 DRAIN_WEIGHT = 8.0  # by how much later work goes that takes room from others: under overload the small earn more
 URGENT_PRIORITY = 0  # the only one for which others are stopped
-GRACE_PART = 0.25  # of its remaining work, by which a step may be late and still count as in time: estimates are rough
+GRACE_FRACTION = (
+    0.25  # of its remaining work, by which a step may be late and still count as in time: estimates are rough
+)
 
 
-class Band(enum.IntEnum):
+class DeadlineClass(enum.IntEnum):
     """What a step can still earn."""
 
     IN_TIME = 0
     LATE = 1
-    NOTHING = 2
+    EXPIRED = 2
 
 
-def band_of(step: Step, now: float) -> Band:
+def deadline_class(step: Step, now: float) -> DeadlineClass:
     """What a step can still earn if it starts now."""
     if step.stage.long_running:
-        return Band.IN_TIME
+        return DeadlineClass.IN_TIME
     remaining = step.deadline - step.latest_start
-    if now <= step.latest_start + GRACE_PART * remaining:
-        return Band.IN_TIME
+    if now <= step.latest_start + GRACE_FRACTION * remaining:
+        return DeadlineClass.IN_TIME
     if now <= step.late_deadline - remaining:
-        return Band.LATE
-    return Band.NOTHING
+        return DeadlineClass.LATE
+    return DeadlineClass.EXPIRED
 
 
 class WorkQueue:
@@ -58,7 +60,7 @@
 
     def add(self, step: Step, now: float) -> None:
         """Put a step into its place (again)."""
-        rank = self._rank(step, now)
+        rank = self._compute_rank(step, now)
         known = self._ranks.get(step)
         if known == rank:
             return
@@ -95,7 +97,7 @@
         """Those of the steps that wait, in order."""
         return sorted((step for step in steps if step in self._ranks), key=self._ranks.__getitem__)
 
-    def _rank(self, step: Step, now: float) -> Rank:
+    def _compute_rank(self, step: Step, now: float) -> Rank:
         job = step.job
         urgency = step.latest_start + DRAIN_WEIGHT * step.drain_s
-        return (self._priority_of(step), band_of(step, now), urgency, job.order, step.time, step.index)
+        return (self._priority_of(step), deadline_class(step, now), urgency, job.order, step.time, step.index)
--- a/pipitledge/scheduling/reports.py
+++ b/pipitledge/scheduling/reports.py
@@ -62,13 +62,13 @@
             return
         now = context.clock.now()
         worker = context.worker(report.node)
-        worker.held_until = max(worker.held_until, now + context.figures.lapse_s)
+        worker.leases_expire_at = max(worker.leases_expire_at, now + context.figures.lapse_s)
         for instance in report.ended_instances:  # true whenever it was sent
             if instance not in worker.dead_instances:
-                self._lifecycle.end_life(worker, instance)
-        if worker.newer(report):
+                self._lifecycle.end_instance(worker, instance)
+        if worker.accept_report(report):
             self._take(worker, report, now)
-        if worker.ends_seen > worker.acknowledged:
+        if worker.last_end_received > worker.acknowledged:
             self._answer_when_committed(worker, report, reply, now)
         else:
             reply(self._orders.answer(worker, report))
@@ -83,7 +83,7 @@
 
     def _answer_when_committed(self, worker: Worker, report: AgentReport, reply: Reply, now: float) -> None:
         """Answer once the report's ends are committed, so that the answer acknowledges them."""
-        instance, seen = worker.instance, worker.ends_seen
+        instance, seen = worker.instance, worker.last_end_received
         deferred = _Deferred(worker, report, reply, now + LONGEST_DEFERRAL_S)
         self._deferred.append(deferred)
 
@@ -113,7 +113,7 @@
         worker.unreachable = False
         worker.silent = report.silent_ms > 0 or bool(report.lapsed_instance)
         if report.worker is not None and self._enter_life(worker, report, report.worker):
-            worker.describe(report.worker, now, report.worker.heartbeat_age_ms / 1_000.0)
+            worker.update_from_heartbeat(report.worker, now, report.worker.heartbeat_age_ms / 1_000.0)
             if report.hold_number > 0:
                 self._take_lists(worker, report, now)
         if report.lapsed_instance and self._is_of_this_term(report):
@@ -139,8 +139,8 @@
         if worker.instance:
             old_lives.add(worker.instance)
         for instance in sorted(old_lives):
-            self._lifecycle.end_life(worker, instance)
-        worker.begin_life(info.instance)
+            self._lifecycle.end_instance(worker, instance)
+        worker.begin_instance(info.instance)
         self._context.usability_changed(worker)
         return True
 
@@ -149,7 +149,7 @@
         if report.hold_number < worker.hold_number:
             return
         worker.hold_number = report.hold_number
-        worker.hold_at = max(worker.hold_at, now - max(0, report.hold_age_ms) / 1_000.0)
+        worker.hold_sent_at = max(worker.hold_sent_at, now - max(0, report.hold_age_ms) / 1_000.0)
         worker.hold_current = report.hold_fence == self._context.replicator.term
         self._take_running(worker, report.running, now)
         self._take_finished(worker, report.finished)
@@ -167,7 +167,7 @@
                     self._take_refusal(worker, result)
 
     def _take_running(self, worker: Worker, running: list[RunningTask], now: float) -> None:
-        foreign: dict[tuple[str, int], Demand | None] = {}
+        unexpected_runs: dict[tuple[str, int], Demand | None] = {}
         shown: set[str] = set()
         absent: list[Run] = []
         for entry in running:
@@ -177,16 +177,16 @@
                 self._lifecycle.go_on_with(run)
                 self._take_progress(worker, run, entry, now)
             else:
-                foreign[entry.task, entry.run] = self._demand_of(entry.task)
+                unexpected_runs[entry.task, entry.run] = self._demand_of(entry.task)
         for name, run in worker.runs.items():
             run.shown = name in shown
-            if not run.shown and worker.hold_at > run.placed_at + BEGUN_WITHIN_S:
+            if not run.shown and worker.hold_sent_at > run.placed_at + BEGUN_WITHIN_S:
                 absent.append(run)
         for run in absent:
             self._lifecycle.end_if_never_begun(run)
-        if worker.show_foreign(foreign):
-            for key in foreign:
-                worker.foreign_stops.setdefault(key, -math.inf)
+        if worker.update_unexpected_runs(unexpected_runs):
+            for key in unexpected_runs:
+                worker.unexpected_stops_sent_at.setdefault(key, -math.inf)
             self._context.dirty.add(worker)
             self._context.request_pass()
 
@@ -208,7 +208,7 @@
         if run.percent_hold == worker.hold_number:
             return  # these lists are known
         run.percent_hold = worker.hold_number
-        run.percent_at = worker.hold_at
+        run.percent_at = worker.hold_sent_at
         if run.first_percent_at < 0.0:
             run.first_percent = run.percent = entry.percent
             run.first_percent_at = run.progressed_at = now
@@ -217,15 +217,15 @@
             run.progressed_at = now
             self._context.progressed.setdefault(worker.service, {})[worker.node] = now
         if run.stop is None and run.rate > 0.0:
-            self._lifecycle.evidence.note_pace(run, worker, run.rate)
+            self._lifecycle.evidence.record_speed(run, worker, run.rate)
 
     def _take_finished(self, worker: Worker, finished: list[FinishedTask]) -> None:
         """Take in the ends that are new, in their order."""
         instance = worker.instance
         for end in finished:
-            if end.number <= worker.ends_seen:
+            if end.number <= worker.last_end_received:
                 continue
-            worker.ends_seen = end.number
+            worker.last_end_received = end.number
             run = worker.runs.get(end.task)
             if run is not None and run.number == end.run and run.instance == instance:
                 self._lifecycle.run_ended(run, ending_of(end.how), end.saved)
@@ -289,7 +289,7 @@
             return
         now = self._context.clock.now()
         if result.outcome == "unhealthy":
-            worker.health.note_unwell(now)
+            worker.health.record_unhealthy(now)
         elif result.outcome == "draining":
             worker.draining = True
         self._context.usability_changed(worker)
--- a/pipitledge/scheduling/restore.py
+++ b/pipitledge/scheduling/restore.py
@@ -135,7 +135,7 @@
         """Stop the rest of a gang's run that one member has left."""
         runs = list(step.runs())
         if not runs:
-            gangs.level(step)
+            gangs.synchronize_members(step)
         elif len(runs) < len(step.tasks):
             for run in runs:
                 self._lifecycle.request_stop(run, StopCause.GANG_BROKEN)
--- a/pipitledge/scheduling/scheduler.py
+++ b/pipitledge/scheduling/scheduler.py
@@ -9,7 +9,7 @@
 from pipitledge.scheduling.admission import Admission
 from pipitledge.scheduling.calls import ClientCalls
 from pipitledge.scheduling.context import Context, Figures, Node, Ports
-from pipitledge.scheduling.copies import Copies
+from pipitledge.scheduling.copies import SpeculativeCopies
 from pipitledge.scheduling.dispatcher import Dispatcher
 from pipitledge.scheduling.lifecycle import Lifecycle
 from pipitledge.scheduling.orders import Orders
@@ -46,7 +46,7 @@
         self._reports = Reports(self._context, self._lifecycle, self._orders)
         self._calls = ClientCalls(self._context, self._lifecycle, self._admission)
         self._watch = Watch(self._context, self._lifecycle)
-        self._copies = Copies(self._context, self._lifecycle)
+        self._copies = SpeculativeCopies(self._context, self._lifecycle)
         self._timer: Timer | None = None
         self._context.on_pass = self._dispatcher.run_pass
 
--- a/pipitledge/scheduling/usage.py
+++ b/pipitledge/scheduling/usage.py
@@ -20,19 +20,19 @@
         self._term = -1
         self._version = 0
         self._payload = b""
-        self._made_at = 0.0
+        self._built_at = 0.0
 
     def current(self) -> tuple[int, bytes]:
         """The report's version and the report, as a payload."""
         now = self._context.clock.now()
         term = self._context.replicator.term
-        if term != self._term or now - self._made_at >= USAGE_VALID_S:
-            self._renew(term, now)
+        if term != self._term or now - self._built_at >= USAGE_VALID_S:
+            self._rebuild(term, now)
         return self._version, self._payload
 
-    def _renew(self, term: int, now: float) -> None:
+    def _rebuild(self, term: int, now: float) -> None:
         report = self._report() if self._context.active else QueueUsageReport()
         payload = report.encode()
         if term != self._term or payload != self._payload:
             self._version += 1
-        self._term, self._payload, self._made_at = term, payload, now
+        self._term, self._payload, self._built_at = term, payload, now
--- a/pipitledge/scheduling/watch.py
+++ b/pipitledge/scheduling/watch.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from pipitledge.scheduling.context import Context
-from pipitledge.scheduling.health import SLOW_PACE
+from pipitledge.scheduling.health import SLOW_SPEED
 from pipitledge.scheduling.lifecycle import Lifecycle
 from pipitledge.scheduling.tasks import Run, StopCause
 from pipitledge.scheduling.workers import Worker
@@ -42,7 +42,7 @@
         for worker in list(self._context.workers.values()):
             if not worker.runs:
                 continue
-            if now > worker.held_until:
+            if now > worker.leases_expire_at:
                 self._lifecycle.lapse(worker)
                 continue
             if worker.draining:
@@ -84,7 +84,7 @@
         rate = run.rate
         if run.observed_s < RATE_AFTER_S or rate <= 0.0 or run.task.moves >= MOST_MOVES:
             return False
-        if rate * stage.estimate_s >= SLOW_PACE or not worker.health.slow(now):
+        if rate * stage.estimate_s >= SLOW_SPEED or not worker.health.slow(now):
             return False
         if run.task.step.gang and not stage.checkpoints:
             return False
--- a/tests/system/scheduling_case.py
+++ b/tests/system/scheduling_case.py
@@ -76,7 +76,7 @@
         """A cluster that is at work; when the test is over, no rule may have been broken."""
         self.cluster = cluster = started(Cluster(seed, workers, bounds))
         cluster.run(1.0)  # until the figures of the workers are believed
-        self.addCleanup(lambda: self.assertEqual([], cluster.judge.broken))
+        self.addCleanup(lambda: self.assertEqual([], cluster.judge.violations))
         return cluster
 
     @property
--- a/tests/system/start_judge.py
+++ b/tests/system/start_judge.py
@@ -11,7 +11,7 @@
     from tests.system.scheduling_cluster import Cluster
 
 WORK_SPREAD = 0.02  # part of a task's work by which it may be longer or shorter
-NOTED_S = 1.0  # a machine in touch starts no copy later than that after an end `done` was noted
+COPY_GRACE_S = 1.0  # a machine in touch starts no copy later than that after an end `done` was noted
 
 
 class Judge:
@@ -19,15 +19,15 @@
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
-        self.broken: list[str] = []
-        self.noted_done: dict[str, float] = {}  # tasks whose end `done` was taken note of, and when
-        self.noted_failures: dict[str, set[tuple[str, int]]] = {}
+        self.violations: list[str] = []
+        self.acknowledged_done: dict[str, float] = {}  # tasks whose end `done` was taken note of, and when
+        self.acknowledged_failures: dict[str, set[tuple[str, int]]] = {}
         self.ended_done: set[str] = set()
         self.ends: list[tuple[float, str, int, str, str]] = []  # time, task, run, how, node
         self.starts: list[tuple[float, str, int, str, str]] = []  # time, task, run, node, saved
-        self.texts: dict[str, set[str]] = {}  # checkpoints by task (of a gang: by step)
+        self.checkpoints: dict[str, set[str]] = {}  # checkpoints by task (of a gang: by step)
 
-    def owner(self, task: str) -> str:
+    def checkpoint_owner(self, task: str) -> str:
         """Whose checkpoints a task may be started from."""
         return task.rsplit(".", 1)[0] if self.cluster.stage(task)["gang"] else task
 
@@ -40,25 +40,25 @@
         job = task.split(".")[0]
         submitted = cluster.bodies.get(job)
         if submitted is None or submitted["spec"] != spec:
-            self.note(f"UNASKED {task}: spec")
+            self.report_violation(f"UNASKED {task}: spec")
             return
-        if live.saved and live.saved not in self.texts.get(self.owner(task), set()):
-            self.note(f"UNASKED {task}: checkpoint {live.saved}")
+        if live.saved and live.saved not in self.checkpoints.get(self.checkpoint_owner(task), set()):
+            self.report_violation(f"UNASKED {task}: checkpoint {live.saved}")
         timely = cluster.in_touch(worker.node) and not worker.taking_late
         if timely and cluster.cancelled.get(job, now) < now - cluster.bounds.cancel_ms / 1_000.0:
-            self.note(f"UNASKED {task}: started {now - cluster.cancelled[job]:.2f} s after its cancelling")
+            self.report_violation(f"UNASKED {task}: started {now - cluster.cancelled[job]:.2f} s after its cancelling")
         speculative = cluster.stage(task)["speculative"]
         elsewhere = any(task in other.life.running and other is not worker for other in cluster.live_workers())
         if elsewhere and not speculative:
-            self.note(f"TWICE {task}: runs elsewhere")
-        late = timely and now > self.noted_done.get(task, now) + NOTED_S
-        if task in self.noted_done and (late or not speculative):
-            self.note(f"TWICE {task}: was done")
-        failures = 0 if cluster.stage(task)["longRunning"] else len(self.noted_failures.get(task, ()))
+            self.report_violation(f"TWICE {task}: runs elsewhere")
+        late = timely and now > self.acknowledged_done.get(task, now) + COPY_GRACE_S
+        if task in self.acknowledged_done and (late or not speculative):
+            self.report_violation(f"TWICE {task}: was done")
+        failures = 0 if cluster.stage(task)["longRunning"] else len(self.acknowledged_failures.get(task, ()))
         if failures >= cluster.route_of[job].max_attempts:
-            self.note(f"BUDGET {task}")
+            self.report_violation(f"BUDGET {task}")
         self._check_order(task)
-        self._check_place(worker, task)
+        self._check_placement(worker, task)
 
     def _check_order(self, task: str) -> None:
         job, time, step, _ = task.split(".")
@@ -66,30 +66,30 @@
         for earlier in body["stages"][int(step)].get("dependsOn", []):
             for index in range(body["stages"][earlier]["count"]):
                 if f"{job}.{time}.{earlier}.{index}" not in self.ended_done:
-                    self.note(f"ORDER {task}: before {earlier}.{index}")
+                    self.report_violation(f"ORDER {task}: before {earlier}.{index}")
         if body.get("repeatCount"):
             due_ms = body["startAtMs"] + int(time) * body["intervalMs"]
             if self.cluster.wall_ms() < due_ms - self.cluster.bounds.early_ms:
-                self.note(f"ORDER {task}: early")
+                self.report_violation(f"ORDER {task}: early")
 
-    def _check_place(self, worker: ModelWorker, task: str) -> None:
+    def _check_placement(self, worker: ModelWorker, task: str) -> None:
         stage = self.cluster.stage(task)
         for name, capacity in worker.plan.capacity.items():
             used = sum(self.cluster.stage(other)[name] for other in worker.life.running)
             if used > capacity:
-                self.note(f"LIMIT {worker.node}: {name} {used} of {capacity} with {task}")
+                self.report_violation(f"LIMIT {worker.node}: {name} {used} of {capacity} with {task}")
         if stage["nodeSelector"] and stage["nodeSelector"] not in worker.plan.labels:
-            self.note(f"ROUTE {task}: label")
+            self.report_violation(f"ROUTE {task}: label")
         family = task.rsplit(".", 1)[0]
         alike = sum(other.rsplit(".", 1)[0] == family for other in worker.life.running)
         if stage["antiAffinity"] and alike > stage["antiAffinity"]:
-            self.note(f"ROUTE {task}: {alike} on one worker")
+            self.report_violation(f"ROUTE {task}: {alike} on one worker")
         acknowledged = worker.life.drain_acknowledged
         late = (
             acknowledged is not None and self.cluster.world.time > acknowledged + self.cluster.bounds.drain_ms / 1_000.0
         )
         if late and self.cluster.in_touch(worker.node) and not worker.taking_late:
-            self.note(f"DRAIN {task}")
+            self.report_violation(f"DRAIN {task}")
 
     def ended(self, worker: ModelWorker, live: LiveRun, how: str) -> None:
         """A run ended on a worker that is up."""
@@ -101,7 +101,7 @@
 
     def saved(self, task: str, text: str) -> None:
         """A checkpoint was made."""
-        self.texts.setdefault(self.owner(task), set()).add(text)
+        self.checkpoints.setdefault(self.checkpoint_owner(task), set()).add(text)
 
     def stage(self, task: str) -> dict[str, Any]:
         """The step of a task."""
@@ -119,19 +119,19 @@
         if end.how == "done":
             started_since = any(name == task and at > end.at for at, name, *_ in self.starts)
             if started_since and not self.cluster.stage(task)["speculative"]:
-                self.note(f"TWICE {task}: started after its end, which was noted later")
+                self.report_violation(f"TWICE {task}: started after its end, which was noted later")
             now = self.cluster.world.time
-            self.noted_done.setdefault(task, now)
+            self.acknowledged_done.setdefault(task, now)
             if self.cluster.stage(task)["gang"]:
                 family = task.rsplit(".", 1)[0]
                 count = self.cluster.stage(task)["count"]
                 for index in range(count):
-                    self.noted_done.setdefault(f"{family}.{index}", now)
+                    self.acknowledged_done.setdefault(f"{family}.{index}", now)
         elif end.how == "failed":
-            self.noted_failures.setdefault(self.owner(task), set()).add((task, run))
-            runs = {run for _, run in self.noted_failures[self.owner(task)]}
-            self.noted_failures[task] = {(task, number) for number in runs}
+            self.acknowledged_failures.setdefault(self.checkpoint_owner(task), set()).add((task, run))
+            runs = {run for _, run in self.acknowledged_failures[self.checkpoint_owner(task)]}
+            self.acknowledged_failures[task] = {(task, number) for number in runs}
 
-    def note(self, text: str) -> None:
+    def report_violation(self, text: str) -> None:
         """A rule is broken."""
-        self.broken.append(f"{self.cluster.world.time:.3f} {text}")
+        self.violations.append(f"{self.cluster.world.time:.3f} {text}")
--- a/tests/system/test_ingress.py
+++ b/tests/system/test_ingress.py
@@ -18,7 +18,7 @@
 from pipitledge.ingress.redirect import LONGEST_SENDING_S, LargeAnswers
 from pipitledge.membership.primary_caller import LONG_BODY_BYTES_PER_S
 from pipitledge.runtime.settings import Bounds
-from pipitledge.scheduling.admission_rule import LEAST_DEPTH, SHORTEST_RETRY_MS
+from pipitledge.scheduling.admission_rule import MIN_QUEUE_DEPTH, MIN_RETRY_AFTER_MS
 from pipitledge.wire.messages import (
     CallKind,
     ClientCall,
@@ -216,7 +216,7 @@
     def configure_usage(self, inflight: float) -> None:
         """Answer the pull that waits with the usage of queue r1, which may use ten slots; r2 is idle."""
         busy = {"r1": QueueFigures(inflight)}
-        pool = PoolFigures(20.0, 10.0 / LEAST_DEPTH, 0.5, busy, {0: 1}, workers=4, cpu=5_000)
+        pool = PoolFigures(20.0, 10.0 / MIN_QUEUE_DEPTH, 0.5, busy, {0: 1}, workers=4, cpu=5_000)
         report = QueueUsageReport({"s1": pool}).encode()
         updates = [Update("config", 7, whole(7, route(1), route(2))), Update(usage_origin(1), 1, report)]
         self.pulls.answer(PullReply(1, updates))
@@ -232,7 +232,7 @@
         self.configure_usage(10.0)
         self.assertFalse(self.submit(1))
         self.assertEqual(self.heard[0].status, 429)
-        self.assertGreaterEqual(self.heard[0].retry_after_ms, SHORTEST_RETRY_MS)
+        self.assertGreaterEqual(self.heard[0].retry_after_ms, MIN_RETRY_AFTER_MS)
 
     def test_other_queues_and_calls_are_not(self) -> None:
         self.configure_usage(10.0)
--- a/tests/system/test_local_admission.py
+++ b/tests/system/test_local_admission.py
@@ -26,13 +26,13 @@
 from pipitledge.ingress.local_admission import FRESH_SECONDS, LEFT_TO_PRIMARY, LocalAdmission
 from pipitledge.membership.primary_caller import OutcomeHandler
 from pipitledge.runtime.settings import Bounds
-from pipitledge.scheduling.admission import SETTLING_S
-from pipitledge.scheduling.admission_rule import LEAST_DEPTH, LONGEST_RETRY_MS, SHORTEST_RETRY_MS, share_of
+from pipitledge.scheduling.admission import WORKER_DISCOVERY_S
+from pipitledge.scheduling.admission_rule import MAX_RETRY_AFTER_MS, MIN_QUEUE_DEPTH, MIN_RETRY_AFTER_MS, share_of
 from pipitledge.scheduling.job import Stage
 from pipitledge.scheduling.objectives import LATE_FACTOR
 from pipitledge.scheduling.tasks import Demand, demand_of
 from pipitledge.scheduling.usage import USAGE_VALID_S
-from pipitledge.scheduling.workers import ServiceRoom
+from pipitledge.scheduling.workers import ServiceCapacity
 from pipitledge.wire.messages import ClientReply, PullReply, Update
 from tests.system.configuration_world import ScriptedCaller, SilentLog, clock_of
 from tests.system.scheduling_cluster import PLAIN, ROUTES, SERVICE, URGENT, Behaviour, Cluster, FakeReplicator, job_id
@@ -96,7 +96,7 @@
             route.name: QueueFigures(inflight[route.name], route.priority) for route in ROUTES if route.name in inflight
         }
         idle = dict(Counter(route.priority for route in ROUTES if route.name not in inflight))
-        limit, reservation = 40.0 / LEAST_DEPTH, 8.0 / LEAST_DEPTH
+        limit, reservation = 40.0 / MIN_QUEUE_DEPTH, 8.0 / MIN_QUEUE_DEPTH
         pool = PoolFigures(20.0, limit, reservation, busy, idle, workers=4, cpu=5_000, memory_mb=8_192, gpu=4)
         self.node.pull(1, version, QueueUsageReport({SERVICE: pool}).encode())
 
@@ -137,7 +137,7 @@
         self.pull(plain=100.0)
         judgement = self.admission.judge(PLAIN, job_id(1), job_of(4))
         self.assertTrue(judgement.refused)
-        self.assertTrue(SHORTEST_RETRY_MS <= judgement.retry_after_ms <= LONGEST_RETRY_MS)
+        self.assertTrue(MIN_RETRY_AFTER_MS <= judgement.retry_after_ms <= MAX_RETRY_AFTER_MS)
 
 
 class DoubtTest(NodeCase):
@@ -226,7 +226,7 @@
         self.cluster = Cluster(workers=4)
         self.node = Puller(self.cluster.world)
         self.cluster.promote()
-        self.cluster.run(SETTLING_S + 0.5)
+        self.cluster.run(WORKER_DISCOVERY_S + 0.5)
 
     def usage(self) -> tuple[int, bytes]:
         assert self.cluster.primary is not None
@@ -263,7 +263,7 @@
 
     def test_nothing_is_published_until_the_workers_are_known(self) -> None:
         self.cluster.promote()
-        self.cluster.run(SETTLING_S - 0.1)
+        self.cluster.run(WORKER_DISCOVERY_S - 0.1)
         self.assertEqual(self.report().pools, {})
         self.cluster.run(USAGE_VALID_S)
         self.assertIn(SERVICE, self.report().pools)
@@ -363,7 +363,7 @@
         for _ in range(200):
             cpu, memory, gpu = rng.choice([0, 8_000]), rng.choice([0, 16_384]), rng.choice([0, 4])
             stage = Stage(cpu=rng.randint(0, 9_000), memory_limit_mb=rng.randint(0, 20_000), gpu=rng.randint(0, 5))
-            room = ServiceRoom(4, 32, Demand(cpu, memory, gpu))
+            room = ServiceCapacity(4, 32, Demand(cpu, memory, gpu))
             pool = PoolFigures(32.0, workers=4, cpu=cpu, memory_mb=memory, gpu=gpu)
             self.assertEqual(share_of(stage, pool), room.share_of(demand_of(stage)))
 
--- a/tests/system/test_scheduling.py
+++ b/tests/system/test_scheduling.py
@@ -547,12 +547,12 @@
         self.await_that(lambda: bool(self.ends_of(JOB, "done")), 3.0)
         cluster.run(3.0)
         self.assertEqual([FIRST_TASK], [end.task for end in worker.life.ends])
-        self.assertNotIn(FIRST_TASK, cluster.judge.noted_done)
+        self.assertNotIn(FIRST_TASK, cluster.judge.acknowledged_done)
         self.assertEqual(1, len(cluster.runs_of(OTHER)), "grants go on meanwhile")
         self.primary.replicator.resume()
         cluster.run(3.0)
         self.assertEqual([], worker.life.ends)
-        self.assertIn(FIRST_TASK, cluster.judge.noted_done)
+        self.assertIn(FIRST_TASK, cluster.judge.acknowledged_done)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_scheduling_queues.py
+++ b/tests/system/test_scheduling_queues.py
@@ -7,9 +7,9 @@
 
 from msgspec import Struct
 
-from pipitledge.scheduling.dispatcher import CAUTION_S, PATIENCE_S
+from pipitledge.scheduling.dispatcher import NODE_AVOIDANCE_S, SUSPECT_AVOIDANCE_S
 from pipitledge.scheduling.job import Stage, Submission
-from pipitledge.scheduling.objectives import MOST_BEYOND_ESTIMATE
+from pipitledge.scheduling.objectives import MAX_ESTIMATE_OVERRUN
 from pipitledge.scheduling.queue_order import WorkQueue
 from pipitledge.scheduling.tasks import Job, Step, new_step
 from pipitledge.wire.messages import (
@@ -206,7 +206,7 @@
         self.submit(JOB, body(stage(estimatedMs=200), stage(dependsOn=[0], estimatedMs=200)), 0.2)
         cluster.workers[0].set_speed(0.02)
         self.await_runs(f"{JOB}.0.1", limit=30.0)
-        self.assertLess(self.objective_s(1), self.STRETCH * 0.2 * (MOST_BEYOND_ESTIMATE + 1.0) + self.TARGET_S + 0.01)
+        self.assertLess(self.objective_s(1), self.STRETCH * 0.2 * (MAX_ESTIMATE_OVERRUN + 1.0) + self.TARGET_S + 0.01)
 
     def test_what_is_left_to_do_shrinks_with_the_job(self) -> None:
         self.make()
@@ -234,11 +234,11 @@
         failed_on = self.await_runs(JOB)[0][0]
         other = next(worker.node for worker in cluster.workers if worker.node != failed_on)
         context = self.primary.scheduler.context
-        context.workers[other].health.note_failure(OTHER, context.clock.now())
+        context.workers[other].health.record_failure(OTHER, context.clock.now())
         self.await_that(lambda: len(self.starts_of(JOB)) == 2, 3.0)
         self.assertEqual(other, self.starts_of(JOB)[1][3])
         waited_s = self.starts_of(JOB)[1][0] - self.ends_of(JOB, "failed")[0][0]
-        self.assertLess(waited_s, 0.5 * (CAUTION_S + PATIENCE_S))
+        self.assertLess(waited_s, 0.5 * (SUSPECT_AVOIDANCE_S + NODE_AVOIDANCE_S))
 
 
 class Polls(SchedulingCase):
--- a/tests/system/test_scheduling_random.py
+++ b/tests/system/test_scheduling_random.py
@@ -217,7 +217,7 @@
             cluster.run(0.5)
         self.assertEqual({}, {job: cluster.ask(job) for job in unfinished})
         self.check_lasting(day)
-        self.assertEqual([], cluster.judge.broken)
+        self.assertEqual([], cluster.judge.violations)
         self.assertGreater(len(cluster.judge.starts), len(day.jobs))
         self.assertEqual([], [key for key in cluster.state if key.startswith("task/")], "records left behind")
 
@@ -229,7 +229,7 @@
                 ends = [how for _, _, _, how, _ in day.cluster.judge.ends]
                 self.assertGreater(ends.count("done"), len(day.jobs))
                 self.assertEqual(set(), set(ends) & {"alone", "lapsed"})
-                self.assertEqual([], day.cluster.judge.broken)
+                self.assertEqual([], day.cluster.judge.violations)
 
     def check_lasting(self, day: Day) -> None:
         """Lasting tasks are at work until their job is cancelled, and then nothing of it is left."""
--- a/tests/system/test_scheduling_reports.py
+++ b/tests/system/test_scheduling_reports.py
@@ -12,7 +12,7 @@
 from pipitledge.runtime.handlers import Handlers
 from pipitledge.scheduling.context import Figures, Node, Ports
 from pipitledge.scheduling.job import Submission, parse_submission
-from pipitledge.scheduling.placement import Ranking, Seeker
+from pipitledge.scheduling.placement import PlacementRequest, WorkerRanking
 from pipitledge.scheduling.scheduler import Scheduler
 from pipitledge.scheduling.tasks import Demand, Job, Run, Step, new_step
 from pipitledge.scheduling.workers import Worker
@@ -429,8 +429,8 @@
         step = _step(json.dumps(submission).encode())
         worker = Worker("w", capacity=Demand(CPU, 1_000, 0))
         worker.instance = "i-1"
-        worker.recount()
-        ranking = Ranking(Seeker(step, (0, 0, 0.0, 0, 0, 0), 0.0), [worker])
+        worker.recompute_free()
+        ranking = WorkerRanking(PlacementRequest(step, (0, 0, 0.0, 0, 0, 0), 0.0), [worker])
         self.assertIs(worker, ranking.best())
         run = Run(step.tasks[0], 1, "w", "i-1", 0.0)
         worker.add(run, step.demand)
--- a/tests/system/test_scheduling_workers.py
+++ b/tests/system/test_scheduling_workers.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Struct
 
-from pipitledge.scheduling.health import FAILURES_TO_AVOID, FIRST_AVOIDANCE_S, Health
+from pipitledge.scheduling.health import FAILURES_BEFORE_AVOIDANCE, MIN_AVOIDANCE_S, WorkerHealth
 from pipitledge.wire.messages import (
     CallKind,
     ClientCall,
@@ -226,39 +226,41 @@
     """Bad workers are left alone, ordinary ones are not."""
 
     def test_ordinary_failures_do_not_get_a_worker_avoided(self) -> None:
-        health = Health()
+        health = WorkerHealth()
         for number in range(400):
             now = float(number)
             if number % 10 == 9:
-                self.assertFalse(health.note_failure(f"job {number}", now))
+                self.assertFalse(health.record_failure(f"job {number}", now))
             else:
-                health.note_success(now - 50.0)  # placed before the last failures: it clears nothing
+                health.record_success(now - 50.0)  # placed before the last failures: it clears nothing
             self.assertFalse(health.avoided(now), number)
 
     def test_some_failures_without_success_do(self) -> None:
-        health = Health()
-        outcomes = [health.note_failure(f"job {number}", float(number)) for number in range(FAILURES_TO_AVOID)]
-        self.assertEqual([False] * (FAILURES_TO_AVOID - 1) + [True], outcomes)
-        last = float(FAILURES_TO_AVOID - 1)
-        self.assertTrue(health.avoided(last + FIRST_AVOIDANCE_S - 0.01))
-        self.assertFalse(health.avoided(last + FIRST_AVOIDANCE_S))
+        health = WorkerHealth()
+        outcomes = [
+            health.record_failure(f"job {number}", float(number)) for number in range(FAILURES_BEFORE_AVOIDANCE)
+        ]
+        self.assertEqual([False] * (FAILURES_BEFORE_AVOIDANCE - 1) + [True], outcomes)
+        last = float(FAILURES_BEFORE_AVOIDANCE - 1)
+        self.assertTrue(health.avoided(last + MIN_AVOIDANCE_S - 0.01))
+        self.assertFalse(health.avoided(last + MIN_AVOIDANCE_S))
         self.assertTrue(health.on_trial)
 
     def test_failures_of_a_job_that_fails_elsewhere_are_pardoned(self) -> None:
-        health = Health()
-        for number in range(FAILURES_TO_AVOID):
-            health.note_failure(JOB, float(number))
-        health.pardon(JOB)
-        self.assertFalse(health.avoided(float(FAILURES_TO_AVOID)))
+        health = WorkerHealth()
+        for number in range(FAILURES_BEFORE_AVOIDANCE):
+            health.record_failure(JOB, float(number))
+        health.discard_failures(JOB)
+        self.assertFalse(health.avoided(float(FAILURES_BEFORE_AVOIDANCE)))
         self.assertFalse(health.suspect)
 
     def test_a_success_after_the_trial_brings_it_back(self) -> None:
-        health = Health()
-        for number in range(FAILURES_TO_AVOID):
-            health.note_failure(f"job {number}", 1.0)
-        health.note_success(0.5)  # begun before it turned bad
+        health = WorkerHealth()
+        for number in range(FAILURES_BEFORE_AVOIDANCE):
+            health.record_failure(f"job {number}", 1.0)
+        health.record_success(0.5)  # begun before it turned bad
         self.assertTrue(health.on_trial)
-        health.note_success(4.0)
+        health.record_success(4.0)
         self.assertFalse(health.on_trial)
         self.assertFalse(health.suspect)
 
@@ -277,7 +279,7 @@
         self.await_that(lambda: ("worker_avoided", bad.node) in self.avoidances(), 5.0)
         avoided = cluster.world.time
         cluster.run(0.1)
-        cluster.run(FIRST_AVOIDANCE_S - 0.2)
+        cluster.run(MIN_AVOIDANCE_S - 0.2)
         at_it = [start for start in cluster.judge.starts if start[3] == bad.node]
         self.assertEqual([], [start for start in at_it if start[0] > avoided + 0.1])
         self.assertEqual([bad.node], [node for _, node in self.avoidances()])
@@ -315,7 +317,7 @@
         self.submit(JOB, body(stage(cpu=WHOLE_CPU)), 20.0)
         return self.await_runs(JOB)[0][0]
 
-    def spoil_all_but(self, node: str, spoil: Callable[[Health, float], None]) -> None:
+    def spoil_all_but(self, node: str, spoil: Callable[[WorkerHealth, float], None]) -> None:
         """Have all other workers left out for a long time."""
         context = self.primary.scheduler.context
         for worker in context.workers.values():
@@ -324,16 +326,16 @@
                 context.usability_changed(worker)
 
     def test_a_job_runs_though_the_only_room_is_on_slow_workers(self) -> None:
-        def slow(health: Health, now: float) -> None:
+        def slow(health: WorkerHealth, now: float) -> None:
             for _ in range(10):
-                health.note_pace(0.05, now + 60.0)
+                health.record_speed(0.05, now + 60.0)
 
         self.spoil_all_but(self.fill_first_of(3), slow)
         self.submit(OTHER, body(stage(2, cpu=WHOLE_CPU, gang=True)))
         self.await_runs(OTHER, 2, limit=2.5)
 
     def test_a_job_runs_though_the_only_room_is_on_avoided_workers(self) -> None:
-        def avoid(health: Health, now: float) -> None:
+        def avoid(health: WorkerHealth, now: float) -> None:
             health.avoid_until = now + 60.0
             health.on_trial = True
 
@@ -346,7 +348,9 @@
         self.submit(JOB, body(stage(cpu=2_000, gpu=1)), 20.0)
         self.submit(OTHER, body(stage(3, cpu=WHOLE_CPU, gang=True)), 5.0, URGENT)
         cluster.run(1.5)  # the gang keeps all workers free, and one of them is in use for long
-        claimed = [worker for worker in self.primary.scheduler.context.workers.values() if worker.claim is not None]
+        claimed = [
+            worker for worker in self.primary.scheduler.context.workers.values() if worker.reservation is not None
+        ]
         self.assertEqual(3, len(claimed))
         self.submit(THIRD, body(stage(cpu=1_000)))
         self.await_runs(THIRD, limit=2.5)
--- a/tests/system/test_whole_system.py
+++ b/tests/system/test_whole_system.py
@@ -47,7 +47,7 @@
 
     def first_breach(self, mutant: Mutant) -> Breach | None:
         for seed in SEEDS:
-            shown = [breach for breach in verdict_without(mutant, seed).breaches if mutant.shows_in(breach)]
+            shown = [breach for breach in verdict_without(mutant, seed).breaches if mutant.is_detected_by(breach)]
             if shown and not verdict(seed).breaches:
                 return shown[0]
         return None
--- a/tests/system/whole_system_mutants.py
+++ b/tests/system/whole_system_mutants.py
@@ -31,18 +31,18 @@
     name: str
     patches: Callable[[], list[Any]]
     rules: frozenset[str]
-    said: str = ""  # in the text of the breach
+    expected_text: str = ""  # in the text of the breach
 
-    def shows_in(self, breach: Breach) -> bool:
+    def is_detected_by(self, breach: Breach) -> bool:
         """Whether a breach is what the missing guard leads to."""
-        return breach.rule in self.rules and self.said in str(breach)
+        return breach.rule in self.rules and self.expected_text in str(breach)
 
 
 def _ends_acknowledged_at_once() -> list[Any]:
     """An end is acknowledged to the worker before it is in replicated state."""
 
     def answer(self: Reports, worker: Worker, report: Any, reply: Any, now: float) -> None:
-        worker.acknowledged = worker.ends_seen
+        worker.acknowledged = worker.last_end_received
         reply(self._orders.answer(worker, report))
 
     return [mock.patch.object(Reports, "_answer_when_committed", answer)]
@@ -73,7 +73,10 @@
 
 def _room_not_counted() -> list[Any]:
     """Runs are not counted against their worker's room."""
-    return [mock.patch.object(Worker, "take", lambda self, demand: None), mock.patch.object(Worker, "give", _nothing)]
+    return [
+        mock.patch.object(Worker, "allocate", lambda self, demand: None),
+        mock.patch.object(Worker, "release", _nothing),
+    ]
 
 
 def _drain_ignored() -> list[Any]:
