--- a/pipitledge/scheduling/admission_rule.py
+++ b/pipitledge/scheduling/admission_rule.py
@@ -1,10 +1,10 @@
-"""The rule by which a job is taken in, over the figures of its service's pool: one for ingress nodes and the primary.
+"""The admission rule, shared by ingress nodes and the primary: decides on a job from the usage of its service's queues.
 
-The clients of the design are the queues; a job weighs the slots of its widest step. Capacity is the slots there are,
-times how often they can be used up before jobs that wait would earn nothing any more. So ordinary load queues, and only
-a flood is refused. Queues of a lower priority do not count against a job, as what waits there lets it go first: each
-priority has a pool of its own, of all queues that go before or beside it. The same figures give the same decision
-wherever it is made.
+Limits and reservations apply per queue. A job weighs as many slots as its widest stage occupies. The capacity is the
+number of slots times the queue depth: how many times the slots can be filled before waiting jobs would finish too late
+to have any value. Ordinary load is therefore queued, and only a flood is refused. Queues of a lower priority do not
+count against a job, because their work waits while the job runs: a job is checked against all queues of the same or a
+higher priority. The decision depends on the arguments alone, so the same usage gives the same decision on every node.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from pipitledge.decision.admission import admit
 from pipitledge.scheduling.job import Stage, Submission, estimated_lengths_s, remaining_chains_s, waves_of
 
-MIN_QUEUE_DEPTH = 4.0  # times its slots that a service takes in at least
+MIN_QUEUE_DEPTH = 4.0  # a service admits at least this many times its slots
 MIN_RETRY_AFTER_MS = 200
 MAX_RETRY_AFTER_MS = 1_500
 MIN_CHAIN_S = 1e-3
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionDecision:
-    """Whether a job is taken in; if not, when to come back."""
+    """Whether a job is admitted, and its weight in slots; if not, after what time the client should retry."""
 
     admitted: bool
     weight: float
@@ -34,19 +34,25 @@
 
 
 def decide(
-    pool: PoolFigures, route: Route, submission: Submission, let_in: Mapping[str, QueueFigures] = NO_EXTRA_INFLIGHT
+    pool: PoolFigures,
+    route: Route,
+    submission: Submission,
+    extra_inflight: Mapping[str, QueueFigures] = NO_EXTRA_INFLIGHT,
 ) -> AdmissionDecision:
-    """Whether a job of that queue is taken in; `let_in`: by queue, what is in flight that `pool` doesn't contain."""
-    pool = pool.with_more(let_in)
+    """Decide on a job submitted to the route's queue.
+
+    `extra_inflight`: by queue, admitted work that `pool` does not contain yet.
+    """
+    pool = pool.with_more(extra_inflight)
     weight = job_weight(submission, pool)
     own = pool.busy.get(route.name)
     if own is None or own.inflight <= 0.0:
-        return AdmissionDecision(True, weight)  # an idle queue's job is taken whatever its size
+        return AdmissionDecision(True, weight)  # the first job of an idle queue is admitted regardless of its size
     lengths = estimated_lengths_s(submission.stages, _waves(submission, pool))
     chain_s = max(remaining_chains_s(submission.stages, lengths))
-    turns = queue_depth(route, chain_s, pool.late_factor)
-    capacity = pool.capacity * turns
-    usages = pool.usages(max(route.priority, own.priority), turns)
+    depth = queue_depth(route, chain_s, pool.late_factor)
+    capacity = pool.capacity * depth
+    usages = pool.usages(max(route.priority, own.priority), depth)
     decision = admit(weight, route.name, usages, capacity)
     if decision.admitted:
         return AdmissionDecision(True, weight)
@@ -56,13 +62,13 @@
 
 
 def job_weight(submission: Submission, pool: PoolFigures) -> float:
-    """Slots of a job's widest step: its tasks, times the share of a worker each needs, times a worker's slots."""
+    """Return the slots of a job's widest stage: tasks times share of a worker per task times slots per worker."""
     slots = pool.capacity / pool.workers if pool.workers else 0.0
     return max(stage.count * share_of(stage, pool) * slots for stage in submission.stages)
 
 
 def share_of(stage: Stage, pool: PoolFigures) -> float:
-    """The largest share of a mean worker of the pool that a task of that step takes."""
+    """Return the share of the pool's mean worker that a task of the stage takes, of its scarcest resource."""
     share = 0.0
     if pool.cpu:
         share = stage.cpu / pool.cpu
@@ -74,11 +80,11 @@
 
 
 def queue_depth(route: Route, chain_s: float, late_factor: float) -> float:
-    """How often the slots can be used up before a job that waits so long earns nothing."""
+    """Return how many times the slots can be filled before a job that waits that long has lost all its value."""
     objective_s = route.stretch * chain_s + route.target_latency_ms / 1_000.0
     return max(MIN_QUEUE_DEPTH, late_factor * objective_s / max(chain_s, MIN_CHAIN_S))
 
 
 def _waves(submission: Submission, pool: PoolFigures) -> tuple[float, ...]:
-    """In how many waves each step runs, by the workers there are."""
+    """Return the number of waves in which each stage runs on the pool's workers."""
     return tuple(waves_of(stage, share_of(stage, pool), pool.workers) for stage in submission.stages)
--- a/pipitledge/scheduling/batch.py
+++ b/pipitledge/scheduling/batch.py
@@ -1,4 +1,4 @@
-"""Changes of replicated state, gathered for a moment and written as one atomic batch."""
+"""Collects changes of replicated state for a short time and writes them as one atomic batch."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Batch:
-    """Writes that wait for the next flush, and what is to be done once they are committed."""
+    """Pending writes, and the actions to run once they are committed."""
 
     def __init__(self, replicator: Replicator, request_flush: Action) -> None:
-        """`request_flush` sees to it that `flush` is called soon."""
+        """`request_flush` is called after each change; it has to arrange a call of `flush` soon."""
         self._replicator = replicator
         self._request_flush = request_flush
         self._writes: dict[str, Write] = {}
@@ -22,26 +22,26 @@
         self._generation = 0
 
     def put(self, key: str, value: bytes) -> None:
-        """Give a key a new value."""
+        """Set the value of a key with the next flush."""
         self._writes[key] = Write(key=key, value=value)
         self._request_flush()
 
     def delete(self, key: str) -> None:
-        """Remove a key."""
+        """Delete a key with the next flush."""
         self._writes[key] = Write(key=key, deleted=True)
         self._request_flush()
 
     def when_committed(self, action: Action) -> None:
-        """Do something once all changes so far are committed; never, if the role is lost before."""
+        """Run an action once all changes so far are committed; never, if this node stops being primary before."""
         if self._writes:
             self._actions.append(action)
         else:
             self._replicator.after_commit(self._guarded([action]))
 
     def flush(self, first: Action, last: Action) -> bool:
-        """Write what waits; False if this node may not write now, then it goes on waiting.
+        """Write all pending changes; returns False, and keeps them, if this node may not write now.
 
-        Once it is committed `first` runs, then what was asked for by `when_committed`, then `last`.
+        After the commit, `first` runs, then the actions passed to `when_committed`, then `last`.
         """
         if not self._writes:
             return True
@@ -53,13 +53,13 @@
         return True
 
     def drop(self) -> None:
-        """Forget what waits, and what was to be done: the role is lost."""
+        """Discard pending writes and actions, because this node is no longer primary."""
         self._generation += 1
         self._writes.clear()
         self._actions.clear()
 
     def _guarded(self, actions: list[Action]) -> Action:
-        """All the actions as one, which does nothing after `drop`."""
+        """Combine the actions into one that does nothing after `drop`."""
         generation = self._generation
 
         def run() -> None:
--- a/pipitledge/scheduling/copies.py
+++ b/pipitledge/scheduling/copies.py
@@ -1,6 +1,7 @@
-"""Copies of tasks whose workers fall silent, where their step is `speculative`: whichever run ends well first counts.
+"""Starts speculative copies of tasks when their worker becomes unreachable.
 
-All other tasks wait until their runs have ended for certain.
+Only stages marked `speculative` allow this: the first of the concurrent runs that succeeds counts. All other tasks wait
+until it is certain that their run has ended.
 """
 
 from __future__ import annotations
@@ -10,29 +11,29 @@
 from pipitledge.scheduling.tasks import Run
 from pipitledge.scheduling.workers import Worker
 
-REPORT_OVERDUE_S = 1.3  # an agent beside a busy worker reports every second
-MAX_SUPERSEDED_RUNS = 1  # runs of one task that are left to themselves at a time
+REPORT_OVERDUE_S = 1.3  # the agent of a busy worker reports every second
+MAX_SUPERSEDED_RUNS = 1  # earlier runs of one task that may go on beside its newest run
 
 
 class SpeculativeCopies:
-    """Has tasks run anew whose workers nothing is heard of."""
+    """Starts copies of the tasks that run on unreachable workers."""
 
     def __init__(self, context: Context, lifecycle: Lifecycle) -> None:
-        """Work on the shared state."""
+        """Work on the scheduler's shared state."""
         self._context = context
         self._lifecycle = lifecycle
 
     def tick(self) -> None:
-        """Look at all workers that run something."""
+        """Check all workers that have runs; called periodically."""
         now = self._context.clock.now()
         for worker in list(self._context.workers.values()):
             if worker.runs and self._is_unreachable(worker, now):
                 self._start_copies(worker)
 
     def _is_unreachable(self, worker: Worker, now: float) -> bool:
-        """Whether what becomes of the worker's runs can't be told just now."""
-        heard_at = max(worker.reported_at, self._context.activated_at)
-        return worker.silent or worker.unreachable or now - heard_at > REPORT_OVERDUE_S
+        """Whether the state of the worker's runs is unknown at present."""
+        reported_at = max(worker.reported_at, self._context.activated_at)
+        return worker.silent or worker.unreachable or now - reported_at > REPORT_OVERDUE_S
 
     def _start_copies(self, worker: Worker) -> None:
         copied = 0
@@ -45,7 +46,7 @@
 
 
 def _may_copy(run: Run) -> bool:
-    """Whether a task may run twice at once, and only this run of it is under way."""
+    """Whether the run's task may run twice at the same time, and no other copy of it exists."""
     task = run.task
     step = task.step
     allowed = step.stage.speculative and not step.gang and not step.stage.long_running and step.job.open
--- a/pipitledge/scheduling/dispatcher.py
+++ b/pipitledge/scheduling/dispatcher.py
@@ -1,7 +1,7 @@
-"""The scheduling pass: gives waiting tasks to workers in order of rank, and writes all changes as one batch.
+"""The scheduling pass: assigns waiting tasks to workers in order of rank and writes all changes as one batch.
 
-Between full passes only what changed is looked at: steps that are new against all workers, older ones against workers
-that gained room.
+A full pass tries all waiting stages on all usable workers. A partial pass, between full ones, considers only changes:
+it tries new stages on all usable workers, and older stages on workers that may have gained free resources.
 """
 
 from __future__ import annotations
@@ -18,37 +18,37 @@
 from pipitledge.scheduling.tasks import Demand, Run, Step, Task
 from pipitledge.scheduling.workers import Worker
 
-MAX_GANGS_PER_PARTIAL_PASS = 3  # tried in a pass that isn't full
-FULL_PASS_INTERVAL_S = 0.25  # waits for near room, pauses and avoidances end unannounced
-NODE_AVOIDANCE_S = 1.0  # a task goes back to a worker where it failed if it finds no other for so long
-STARVING_AFTER_S = 1.5  # of waiting, a step is let go anywhere, if most of its service is idle
-SUSPECT_AVOIDANCE_S = 0.4  # and so long it keeps away from workers where others have just failed
+MAX_GANGS_PER_PARTIAL_PASS = 3  # older gangs that a partial pass tries to place
+FULL_PASS_INTERVAL_S = 0.25  # locality waits, retry pauses and avoidances expire without an event
+NODE_AVOIDANCE_S = 1.0  # a task that finds no other worker for this long may return to one where it failed
+STARVING_AFTER_S = 1.5  # a stage blocked this long may use any worker, if most of its service is idle
+SUSPECT_AVOIDANCE_S = 0.4  # a failed task avoids workers where other tasks failed recently for this long
 
 
 class _UnplaceableRequests:
-    """Demands for which a pass has found no room, by label asked for."""
+    """Resource requests that a pass could not place, by node selector."""
 
     def __init__(self) -> None:
         self._demands: dict[str, list[Demand]] = {}
 
     def add(self, step: Step) -> None:
-        """No room was found for a task of that step."""
+        """Record that no worker can take a task of the stage."""
         self._demands.setdefault(step.stage.node_selector, []).append(step.demand)
 
-    def covers(self, step: Step) -> bool:
-        """Whether a step that asked for no more has found no room."""
+    def rules_out(self, step: Step) -> bool:
+        """Whether the stage cannot be placed, because one that requested no more could not be placed either."""
         demand = step.demand
         selector = step.stage.node_selector
-        if any(demand.covers(missed) for missed in self._demands.get("", ())):
+        if any(demand.covers(failed) for failed in self._demands.get("", ())):
             return True
-        return bool(selector) and any(demand.covers(missed) for missed in self._demands.get(selector, ()))
+        return bool(selector) and any(demand.covers(failed) for failed in self._demands.get(selector, ()))
 
 
 class Dispatcher:
-    """Starts what waits."""
+    """Assigns waiting tasks to workers and sends the start orders."""
 
     def __init__(self, context: Context, lifecycle: Lifecycle, orders: Orders, preemption: Preemption) -> None:
-        """Work on the shared state."""
+        """Work on the scheduler's shared state."""
         self._context = context
         self._lifecycle = lifecycle
         self._orders = orders
@@ -56,11 +56,11 @@
         self._next_full_pass = 0.0
 
     def clear(self) -> None:
-        """Look at everything at the next pass."""
+        """Make the next pass a full one."""
         self._next_full_pass = 0.0
 
     def run_pass(self) -> None:
-        """Place what can be placed, then write and order."""
+        """Place what can be placed, write the changes and send the orders."""
         context = self._context
         if not context.replicator.is_primary():
             context.retry_pass()
@@ -76,10 +76,10 @@
                 self._schedule_service(service, queue, fresh, dirty, full, now)
         self._write()
 
-    # ---- writing and ordering
+    # ---- writing and sending orders
 
     def _write(self) -> None:
-        """Write the batch; orders leave once it is committed."""
+        """Write the batch; start orders are sent once it is committed."""
         context = self._context
         placed, context.placed = context.placed, []
         written = context.batch.flush(lambda: _mark_committed(placed), lambda: self._send_orders(placed))
@@ -91,7 +91,7 @@
             self._orders.push(worker)
 
     def _send_orders(self, placed: list[Run]) -> None:
-        """Send the orders for runs whose records are committed now."""
+        """Send the orders of newly assigned runs, whose records are committed by now."""
         context = self._context
         workers = {context.workers[run.node] for run in placed if run.task.run is run}
         for worker in _by_name(workers | context.unsent):
@@ -102,44 +102,42 @@
     def _schedule_service(
         self, service: str, queue: WorkQueue, fresh: set[Step], dirty: set[Worker], full: bool, now: float
     ) -> None:
-        """Place what waits for the workers of one service."""
+        """Place the stages that wait for the workers of one service."""
         usable = self._context.usable_workers(service, now)
-        gained = WorkerGroup([worker for worker in usable.workers if worker in dirty])
+        freed = WorkerGroup([worker for worker in usable.workers if worker in dirty])
         if full:
             queue.reorder(now)
-        steps = list(queue.in_order()) if full or gained else queue.sorted(fresh)
-        too_large = {
-            True: _UnplaceableRequests(),
-            False: _UnplaceableRequests(),
-        }  # of all workers, and of those that gained room
+        steps = list(queue.in_order()) if full or freed else queue.sorted(fresh)
+        # By whether all workers were tried, or only those that may have gained free resources.
+        unplaceable = {True: _UnplaceableRequests(), False: _UnplaceableRequests()}
         gangs_tried = 0
         idle = full and usable.mostly_idle()
         for step in steps:
-            whole = full or step in fresh
+            on_all = full or step in fresh
             if idle and _is_starving(step, now):
                 self._place_starving(step, queue, usable.with_fallback(), now)
                 continue
-            if step.gang and not whole:
+            if step.gang and not on_all:
                 gangs_tried += 1
                 if gangs_tried > MAX_GANGS_PER_PARTIAL_PASS:
                     continue
-            if too_large[whole].covers(step):
+            if unplaceable[on_all].rules_out(step):
                 self._mark_blocked(step, now)
                 continue
-            if self._place(step, queue, usable if whole else gained, usable, now):
+            if self._place(step, queue, usable if on_all else freed, usable, now):
                 continue
             self._mark_blocked(step, now)
             if not _constrained(step):
-                too_large[whole].add(step)
+                unplaceable[on_all].add(step)
         if full or self._urgent_blocked(queue, fresh):
             self._preemption.handle_blocked_steps(queue, usable.workers, now)
 
     def _urgent_blocked(self, queue: WorkQueue, fresh: set[Step]) -> bool:
-        """Whether one of the new steps is urgent and has found no room."""
+        """Whether one of the new stages is urgent and could not be placed."""
         return any(queue.is_urgent(step) and step.blocked_since >= 0.0 for step in fresh)
 
     def _place(self, step: Step, queue: WorkQueue, candidates: WorkerGroup, usable: WorkerGroup, now: float) -> bool:
-        """Place all tasks of the step that can be; False if one found no room."""
+        """Place as many tasks of the stage as possible; returns False if a task could not be placed."""
         if step.gang:
             placed = self._place_gang(step, queue, candidates, usable, now)
         else:
@@ -148,19 +146,19 @@
         return placed
 
     def _place_starving(self, step: Step, queue: WorkQueue, usable: WorkerGroup, now: float) -> None:
-        """Place what can be of a step that has waited long, whatever else speaks against a worker with room."""
+        """Place tasks of a starving stage on any worker with enough free resources, even an avoided or reserved one."""
         rank = queue.rank(step)
-        assert rank is not None, "a step is placed while it waits"
+        assert rank is not None, "only a waiting stage is placed"
         request = PlacementRequest(step, rank, now, starving=True)
         far_x = self._context.figures.bounds.far_x
         if step.gang:
             self._assign_gang(step, request, usable)
         else:
-            plain = TaskPlacer(request, usable, usable, far_x)
+            unrestricted = TaskPlacer(request, usable, usable, far_x)
             for task in _retries_first(step):
                 excluded_nodes = _nodes_with_superseded_runs(task)
-                beside = PlacementRequest(step, rank, now, excluded_nodes=excluded_nodes, starving=True)
-                placer = TaskPlacer(beside, usable, usable, far_x) if excluded_nodes else plain
+                restricted = PlacementRequest(step, rank, now, excluded_nodes=excluded_nodes, starving=True)
+                placer = TaskPlacer(restricted, usable, usable, far_x) if excluded_nodes else unrestricted
                 worker = placer.best() if task.not_before <= now else None
                 if worker is not None:
                     self._lifecycle.assign(task, worker, task.last_run + 1)
@@ -169,7 +167,7 @@
             self._mark_blocked(step, now)
 
     def _dequeue_if_placed(self, step: Step, queue: WorkQueue) -> None:
-        """A step of which nothing waits any more leaves the queue."""
+        """Remove the stage from the queue, and release its reservations, if none of its tasks is waiting."""
         if not step.waiting:
             queue.remove(step)
             self._preemption.release_reservations(step)
@@ -177,32 +175,32 @@
     def _place_tasks(
         self, step: Step, queue: WorkQueue, candidates: WorkerGroup, usable: WorkerGroup, now: float
     ) -> bool:
-        """Place one task of the step after the other; False if one found no room."""
+        """Place the tasks of the stage one by one; returns False if a task could not be placed."""
         rank = queue.rank(step)
-        assert rank is not None, "a step is placed while it waits"
+        assert rank is not None, "only a waiting stage is placed"
         far_x = self._context.figures.bounds.far_x
-        plain = TaskPlacer(PlacementRequest(step, rank, now), candidates, usable, far_x)
+        unrestricted = TaskPlacer(PlacementRequest(step, rank, now), candidates, usable, far_x)
         for task in _retries_first(step):
             if task.not_before > now:
                 continue
             avoided_nodes, avoid_suspects = self._nodes_to_avoid([task], now)
             excluded_nodes = _nodes_with_superseded_runs(task)
-            choosy = bool(avoided_nodes or excluded_nodes) or avoid_suspects
+            restricted = bool(avoided_nodes or excluded_nodes) or avoid_suspects
             request = PlacementRequest(step, rank, now, avoided_nodes, excluded_nodes, avoid_suspects)
-            placer = TaskPlacer(request, candidates, usable, far_x) if choosy else plain
+            placer = TaskPlacer(request, candidates, usable, far_x) if restricted else unrestricted
             worker = placer.best()
             if worker is not None:
                 self._lifecycle.assign(task, worker, task.last_run + 1)
-            elif not choosy:
-                return False  # the others need the same
+            elif not restricted:
+                return False  # the remaining tasks request the same resources
         return not step.waiting
 
     def _place_gang(
         self, step: Step, queue: WorkQueue, candidates: WorkerGroup, usable: WorkerGroup, now: float
     ) -> bool:
-        """Place a gang whole, or not at all."""
+        """Place all members of a gang or none; returns whether they were placed."""
         rank = queue.rank(step)
-        assert rank is not None, "a step is placed while it waits"
+        assert rank is not None, "only a waiting stage is placed"
         if not candidates:
             return False
         avoided_nodes, avoid_suspects = self._nodes_to_avoid(step.tasks, now)
@@ -211,7 +209,7 @@
         )
 
     def _assign_gang(self, step: Step, request: PlacementRequest, usable: WorkerGroup) -> bool:
-        """Give each member of a gang a worker, if all of them find one."""
+        """Assign each member of a gang to a worker, if there are enough resources for all of them."""
         if any(task.not_before > request.now for task in step.tasks):
             return False
         workers = choose_gang_workers(request, usable, self._context.figures.bounds.far_x)
@@ -223,7 +221,7 @@
         return True
 
     def _nodes_to_avoid(self, tasks: Sequence[Task], now: float) -> tuple[set[str], bool]:
-        """Nodes that tasks had better keep away from, and whether from all suspects: not for ever."""
+        """Return the nodes that the tasks should avoid, and whether to avoid all suspect workers; both expire."""
         first = tasks[0]
         waited = now - max(first.not_before, first.step.queued_at)
         if waited > NODE_AVOIDANCE_S:
@@ -241,17 +239,17 @@
 
 
 def _is_starving(step: Step, now: float) -> bool:
-    """Whether a step has found no room for so long that any worker will do."""
+    """Whether a stage has been blocked for so long that it may use any worker."""
     return step.blocked_since >= 0.0 and now - step.blocked_since >= STARVING_AFTER_S
 
 
 def _retries_first(step: Step) -> list[Task]:
-    """The waiting tasks of a step; those that have failed, or are waited for elsewhere, are the furthest behind."""
+    """Return the waiting tasks of a stage, the most delayed first: those with the most failed or superseded runs."""
     return sorted(step.waiting.values(), key=lambda task: -task.failures - len(task.former))
 
 
 def _nodes_with_superseded_runs(task: Task) -> frozenset[str]:
-    """Nodes where a run of the task still holds room, beside which a copy is wanted."""
+    """Return the nodes where an earlier run of the task still holds resources while a speculative copy is wanted."""
     return frozenset(run.node for run in task.former)
 
 
@@ -265,7 +263,9 @@
 
 
 def _constrained(step: Step) -> bool:
-    """Whether something other than room may keep it from workers."""
+    """Whether the stage may have been rejected by workers for another reason than a lack of free resources."""
     stage = step.stage
-    held_back = any(task.avoided or task.refused_by or task.not_before or task.former for task in step.waiting.values())
-    return bool(step.gang or stage.affinity or stage.anti_affinity or held_back)
+    restricted = any(
+        task.avoided or task.refused_by or task.not_before or task.former for task in step.waiting.values()
+    )
+    return bool(step.gang or stage.affinity or stage.anti_affinity or restricted)
--- a/pipitledge/scheduling/health_tracker.py
+++ b/pipitledge/scheduling/health_tracker.py
@@ -1,4 +1,4 @@
-"""What the ends and the progress of runs tell of their workers: how well they do, and how fast they are."""
+"""Updates the health and the speed of workers from the outcomes and the progress of their runs."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 from pipitledge.scheduling.tasks import Ending, Run
 from pipitledge.scheduling.workers import Worker
 
-JOB_FAULT_NODES = 3  # a job that fails on so many nodes is to blame itself
-HEALTH_OUTCOMES = (Ending.DONE, Ending.FAILED)
+JOB_FAULT_NODES = 3  # a job that fails on this many nodes is at fault itself
+HEALTH_OUTCOMES = (Ending.DONE, Ending.FAILED)  # others say nothing about the health of the worker
 
 
 class HealthTracker:
-    """Learns how well workers do."""
+    """Records in the workers' health what their runs show."""
 
     def __init__(self, context: Context) -> None:
-        """Work on the shared state."""
+        """Work on the scheduler's shared state."""
         self._context = context
 
-    def record_outcome(self, run: Run, ending: Ending) -> None:
-        """Learn from an end how well its worker does."""
-        if run.task.step.stage.long_running or ending not in HEALTH_OUTCOMES:
+    def record_outcome(self, run: Run, outcome: Ending) -> None:
+        """Update the health of the run's worker from the outcome of the run."""
+        if run.task.step.stage.long_running or outcome not in HEALTH_OUTCOMES:
             return
         worker = self._context.workers[run.node]
         if worker.instance != run.instance:
             return
-        if ending is Ending.DONE:
+        if outcome is Ending.DONE:
             worker.health.record_success(run.placed_at)
             self._record_speed_of_done(run, worker)
         else:
             self._attribute_failure(run, worker)
 
     def _record_speed_of_done(self, run: Run, worker: Worker) -> None:
-        """A run that ended well tells how fast its worker is."""
+        """Record the speed of a worker from the duration of a successful run."""
         now = self._context.clock.now()
         self._context.progressed.setdefault(worker.service, {})[worker.node] = now
         elapsed_s = now - run.placed_at - START_DELAY_S
@@ -40,22 +40,22 @@
             self.record_speed(run, worker, 1.0 / elapsed_s)
 
     def record_speed(self, run: Run, worker: Worker, rate: float) -> None:
-        """A run does so much of its work per second: compare that with its estimate."""
+        """Record a speed sample: `rate` is the fraction of its work that a run does per second."""
         context = self._context
         now = context.clock.now()
         stage = run.task.step.stage
         if stage.long_running or stage.gang or now < worker.cold_until:
             return
-        pace = rate * stage.estimate_s
+        speed = rate * stage.estimate_s
         if stage.affinity and stage.affinity not in worker.labels:
-            pace *= context.figures.bounds.far_x
+            speed *= context.figures.bounds.far_x
         was_slow = worker.health.slow(now)
-        worker.health.record_speed(pace, now)
+        worker.health.record_speed(speed, now)
         if worker.health.slow(now) != was_slow:
             context.usability_changed(worker)
 
     def _attribute_failure(self, run: Run, worker: Worker) -> None:
-        """Blame a failed end on its worker, unless its job fails everywhere."""
+        """Count a failed run against its worker, unless the job fails on other workers as well."""
         task = run.task
         job = task.step.job
         job.failed_nodes.add(run.node)
--- a/pipitledge/scheduling/placement.py
+++ b/pipitledge/scheduling/placement.py
@@ -1,8 +1,9 @@
-"""Which worker a task goes to: pure functions of what is known.
+"""Chooses the worker of a task, from the state that the scheduler holds in memory.
 
-Only workers with the label asked for and room for all that the task needs come into question, and not more tasks of a
-step go to one worker than it allows. Of those the roomiest is taken, by the scarcest share left, weighed by its pace.
-Data near by and a common rack are worth a bounded wait.
+A worker is eligible if it has the label of the stage's node selector and enough free resources for the task, and if the
+stage's limit of tasks per worker (anti-affinity) allows another one. Of the eligible workers, the one with the highest
+score is chosen: the free share of its scarcest resource after placement, weighted by its speed. To get a worker near
+its data, or a single rack for a gang, a stage waits for a bounded time.
 """
 
 from __future__ import annotations
@@ -15,74 +16,74 @@
 from pipitledge.scheduling.tasks import Step
 from pipitledge.scheduling.workers import Worker
 
-LOCALITY_WAIT_FACTOR = 0.5  # of what going far costs, a step waits for room near by
+LOCALITY_WAIT_FACTOR = 0.5  # a stage waits at most this fraction of the time that remote placement would cost it
 MAX_LOCALITY_WAIT_S = 2.0
-MIN_SPEED, MAX_SPEED = 0.1, 1.25  # bounds of the weight of a worker's pace
-COLD_WEIGHT = 0.5  # of a worker that is still slow from its start
-FREE_SHARE_BIAS = 0.05  # so that pace counts also where no room is left after placing
+MIN_SPEED, MAX_SPEED = 0.1, 1.25  # bounds of the weight of a worker's relative speed
+COLD_WEIGHT = 0.5  # weight of a worker that is still in its slow phase after startup
+FREE_SHARE_BIAS = 0.05  # added to the free share, so that speed counts even if the worker would be full
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """Who looks for a worker, and what else bears on the choice."""
+    """The stage to be placed, and the restrictions on the choice of its workers."""
 
     step: Step
     rank: Rank
     now: float
-    avoided_nodes: Collection[str] = field(default_factory=frozenset)  # nodes
-    excluded_nodes: Collection[str] = field(default_factory=frozenset)  # nodes where the task still runs, beside a copy
-    avoid_suspects: bool = False  # keep away from workers where something has just failed
-    starving: bool = False  # has waited so long, while most is idle, that any worker with room will do
+    avoided_nodes: Collection[str] = field(default_factory=frozenset)
+    excluded_nodes: Collection[str] = field(default_factory=frozenset)  # an earlier run of the task is still there
+    avoid_suspects: bool = False  # avoid workers with recent failures
+    starving: bool = False  # blocked for so long that any worker with free resources may be used
 
 
 class WorkerGroup:
-    """Some workers, which can be looked up by label."""
+    """Workers that can be looked up by label."""
 
     def __init__(self, workers: Sequence[Worker], fallback: Sequence[Worker] = ()) -> None:
-        """The labels are looked at when they are first asked for; `reserve` serves selectors that none of them fits."""
+        """`fallback`: all usable workers, also slow and avoided ones, for selectors that none of `workers` matches."""
         self.workers = workers
         self._fallback = fallback
         self._combined: WorkerGroup | None = None
         self._by_label: dict[str, list[Worker]] | None = None
 
     def __bool__(self) -> bool:
-        """Whether there are any."""
+        """Whether the group has any workers, not counting the fallback."""
         return bool(self.workers)
 
     def with_fallback(self) -> WorkerGroup:
-        """All of them, those in reserve too."""
+        """Return the group of all usable workers, including the fallback."""
         if self._combined is None:
             self._combined = WorkerGroup(self._fallback) if len(self._fallback) > len(self.workers) else self
         return self._combined
 
     def mostly_idle(self) -> bool:
-        """Whether less than half of the processors of all, those in reserve too, are in use."""
+        """Whether less than half of the CPU capacity, including that of the fallback workers, is in use."""
         usable = self.with_fallback().workers
         free_cpu = sum(max(0, worker.free_cpu) for worker in usable)
         return 2 * free_cpu > sum(worker.capacity.cpu for worker in usable)
 
     def with_label(self, label: str) -> Sequence[Worker]:
-        """Those with a label; all, if it is empty."""
+        """Return the workers with a label; all workers, if the label is empty."""
         if not label:
             return self.workers
         if self._by_label is None:
             self._by_label = {}
             for worker in self.workers:
-                for own in worker.labels:
-                    self._by_label.setdefault(own, []).append(worker)
+                for worker_label in worker.labels:
+                    self._by_label.setdefault(worker_label, []).append(worker)
         return self._by_label.get(label, ())
 
     def matching_selector(self, label: str) -> Sequence[Worker]:
-        """Those that a task with that selector may run on; from the reserve where there are no others."""
+        """Return the workers that match a node selector; fallback workers only if there are no others."""
         return self.with_label(label) or [worker for worker in self._fallback if label in worker.labels]
 
 
 class WorkerRanking:
-    """The workers that may take tasks of a step, the roomiest first."""
+    """The workers that can take tasks of a stage, best score first."""
 
     def __init__(self, request: PlacementRequest, workers: Sequence[Worker]) -> None:
-        """Order the workers by their room as it is now."""
-        self._seeker = request
+        """Rank the workers by their present scores."""
+        self._request = request
         self._heap = [
             (-_score(worker, request), index, worker)
             for index, worker in enumerate(workers)
@@ -91,26 +92,26 @@
         heapq.heapify(self._heap)
 
     def best(self) -> Worker | None:
-        """The roomiest worker as things stand now: workers named before, here or elsewhere, have less room since."""
+        """Return the worker with the best score, or None; tasks placed since the last call are taken into account."""
         heap = self._heap
         while heap:
-            known, index, worker = heap[0]
-            if not _can_place(self._seeker, worker):
+            last_cost, index, worker = heap[0]
+            if not _can_place(self._request, worker):
                 heapq.heappop(heap)
                 continue
-            cost = -_score(worker, self._seeker)
-            if cost <= known:
+            cost = -_score(worker, self._request)
+            if cost <= last_cost:
                 return worker
             heapq.heapreplace(heap, (cost, index, worker))
         return None
 
 
 class TaskPlacer:
-    """Names workers for the tasks of one step, one after the other."""
+    """Chooses workers for the tasks of one stage, one after the other."""
 
     def __init__(self, request: PlacementRequest, candidates: WorkerGroup, usable: WorkerGroup, far_x: float) -> None:
-        """`candidates` are to be looked at; `everyone` tells whether waiting for room near by makes sense."""
-        self._seeker = request
+        """Choose from `candidates`; `usable`, all usable workers, shows whether a worker near the data can exist."""
+        self._request = request
         self._candidates = candidates
         stage = request.step.stage
         self._local: WorkerRanking | None = None
@@ -123,50 +124,50 @@
             )
 
     def best(self) -> Worker | None:
-        """A worker for the next task, or None if there is no room that it should take now."""
-        near = self._local.best() if self._local is not None else None
-        if near is not None or self._waits_for_locality:
-            return near
+        """Return a worker for the next task; None if none is eligible, or if the stage should wait for a local one."""
+        local = self._local.best() if self._local is not None else None
+        if local is not None or self._waits_for_locality:
+            return local
         if self._others is None:
             self._others = WorkerRanking(
-                self._seeker, self._candidates.matching_selector(self._seeker.step.stage.node_selector)
+                self._request, self._candidates.matching_selector(self._request.step.stage.node_selector)
             )
         return self._others.best()
 
 
 def should_wait_for_locality(step: Step, usable: WorkerGroup, now: float, far_x: float) -> bool:
-    """Whether the step had better still wait for room on the rack that holds its data."""
+    """Whether the stage should go on waiting for a worker on the rack that holds its data."""
     if now >= step.queued_at + locality_wait_s(step, far_x):
         return False
     return any(worker.fits_when_empty(step.demand) for worker in usable.with_label(step.stage.affinity))
 
 
 def locality_wait_s(step: Step, far_x: float) -> float:
-    """How long a step waits for room near by before it goes elsewhere."""
+    """Return how long a stage waits for a worker near its data before it runs elsewhere."""
     return min(MAX_LOCALITY_WAIT_S, LOCALITY_WAIT_FACTOR * max(0.0, far_x - 1.0) * step.stage.estimate_s)
 
 
 def choose_gang_workers(request: PlacementRequest, usable: WorkerGroup, far_x: float) -> list[Worker] | None:
-    """Workers for all tasks of a gang at once, or None if they don't all fit now."""
+    """Return workers for all tasks of a gang, or None if they can't all be placed now."""
     step = request.step
     rack = step.stage.affinity
     if rack:
-        near = _choose_all(request, usable.with_label(rack))
-        if near is not None:
-            return near
-    suited = usable.matching_selector(step.stage.node_selector)
+        local = _choose_all(request, usable.with_label(rack))
+        if local is not None:
+            return local
+    matching = usable.matching_selector(step.stage.node_selector)
     if step.stage.same_rack:
-        within = _choose_within_rack(request, suited)
-        if within is not None:
-            return within
-    patient = not request.starving and request.now < step.queued_at + locality_wait_s(step, far_x)
-    if patient and (rack or step.stage.same_rack):
+        on_one_rack = _choose_within_rack(request, matching)
+        if on_one_rack is not None:
+            return on_one_rack
+    may_wait = not request.starving and request.now < step.queued_at + locality_wait_s(step, far_x)
+    if may_wait and (rack or step.stage.same_rack):
         return None
-    return _choose_all(request, suited)
+    return _choose_all(request, matching)
 
 
 def racks_by_free_cpu(workers: Sequence[Worker]) -> list[list[Worker]]:
-    """The workers by rack, the rack with most free processors first."""
+    """Return the workers grouped by rack, the rack with the most free CPU first."""
     racks: dict[str, list[Worker]] = {}
     for worker in workers:
         racks.setdefault(worker.rack, []).append(worker)
@@ -174,7 +175,7 @@
 
 
 def _choose_within_rack(request: PlacementRequest, workers: Sequence[Worker]) -> list[Worker] | None:
-    """Workers of a single rack for all tasks."""
+    """Return workers of a single rack for all tasks, or None."""
     for members in racks_by_free_cpu(workers):
         chosen = _choose_all(request, members)
         if chosen is not None:
@@ -183,7 +184,7 @@
 
 
 def _choose_all(request: PlacementRequest, workers: Sequence[Worker]) -> list[Worker] | None:
-    """Workers for all tasks of the step; what is tried is taken back."""
+    """Return workers for all tasks of the stage, or None; resources allocated while trying are released again."""
     step = request.step
     ranking = WorkerRanking(request, workers)
     chosen: list[Worker] = []
@@ -203,12 +204,12 @@
 
 
 def _can_place(request: PlacementRequest, worker: Worker) -> bool:
-    """Whether a worker has room for a task of the step, and the task may run there."""
+    """Whether a worker has enough free resources for a task of the stage and is eligible."""
     return worker.fits(request.step.demand) and _is_eligible(request, worker)
 
 
 def _is_eligible(request: PlacementRequest, worker: Worker) -> bool:
-    """Whether the step may run there, room apart."""
+    """Whether tasks of the stage may run on the worker, regardless of free resources."""
     step = request.step
     stage = step.stage
     if stage.node_selector and stage.node_selector not in worker.labels:
@@ -227,7 +228,7 @@
 
 
 def _reserved_for_other(request: PlacementRequest, worker: Worker) -> bool:
-    """Whether the worker is kept free for a step that goes before this one."""
+    """Whether the worker is reserved for another stage of a higher rank."""
     reservation = worker.reservation
     if reservation is None or reservation.step is request.step or request.now >= reservation.until:
         return False
@@ -235,7 +236,7 @@
 
 
 def _score(worker: Worker, request: PlacementRequest) -> float:
-    """The higher, the better."""
+    """Return how well a worker suits the request; higher is better."""
     speed = min(MAX_SPEED, max(MIN_SPEED, worker.health.speed))
     if request.now < worker.cold_until:
         speed *= COLD_WEIGHT
--- a/pipitledge/scheduling/preemption.py
+++ b/pipitledge/scheduling/preemption.py
@@ -1,8 +1,8 @@
-"""Room for what matters most: lower-ranked runs are stopped for urgent tasks, and large work gets workers kept free.
+"""Preemption of runs for urgent tasks, and reservation of workers for gangs and large tasks.
 
-Both are bounded. Only tasks of priority 0 stop others, only such of lower priority, at a bounded rate, and where the
-least work is lost. Of the steps of a service that found no room, one at a time may keep workers free, for a bounded
-while: a gang or a large task would starve among small ones.
+Both are bounded. Only tasks of priority 0 preempt, and only runs of a lower priority, at a limited rate and where the
+least work is lost. Of the blocked stages of a service, one at a time may reserve workers, for a limited time: without
+that, a gang or a large task would starve, because small tasks take all resources as soon as they are free.
 """
 
 from __future__ import annotations
@@ -17,51 +17,53 @@
 from pipitledge.scheduling.tasks import Run, Step, StopCause
 from pipitledge.scheduling.workers import Reservation, Worker
 
-MAX_URGENT_STEPS_PER_PASS = 4  # steps for which others are stopped in one pass
-VICTIMS_PER_WORKER_PER_S = 0.5  # rate at which runs are stopped, by workers
-MIN_VICTIM_BURST = 8.0
-PREEMPTION_COOLDOWN_S = 6.0  # a task that was stopped for another isn't stopped again so soon
-NEARLY_DONE_PERCENT = 90.0  # percent: such a run is let be
-MAX_LOSS_RATIO = 3.0  # work lost for a task, against the work that the task is
-CORES_PER_GPU = 8.0  # a GPU counts as so many cores
-GANG_RESERVATION_DELAY_S = 0.5  # of waiting for room, a gang keeps workers free
-TASK_RESERVATION_DELAY_S = 1.5  # and a single task
-RESERVATION_ESTIMATE_FACTOR = 1.5  # times its estimate that it may keep them
+MAX_URGENT_STEPS_PER_PASS = 4  # stages that may preempt in one pass
+VICTIMS_PER_WORKER_PER_S = 0.5  # sustained rate of preempted runs
+MIN_VICTIM_BURST = 8.0  # preempted runs at once; more, if the rate per second is higher
+PREEMPTION_COOLDOWN_S = 6.0  # a preempted task is not preempted again within this time
+NEARLY_DONE_PERCENT = 90.0  # runs beyond this progress are not preempted
+MAX_LOSS_RATIO = 3.0  # at most this multiple of the urgent task's own work may be lost for it
+CORES_PER_GPU = 8.0  # to compare the work of tasks with and without GPUs
+GANG_RESERVATION_DELAY_S = 0.5  # a gang may reserve workers after being blocked this long
+TASK_RESERVATION_DELAY_S = 1.5  # a single task may do so after being blocked this long
+RESERVATION_ESTIMATE_FACTOR = 1.5  # a reservation lasts a second plus this multiple of the estimated task duration
 MAX_RESERVATION_S = 10.0
-STOP_SLACK_S = 0.5
-RESTART_COST_S = 0.5  # that a run takes until it is at work again
+STOP_SLACK_S = 0.5  # beyond the longest stop, until resources of preempted runs are free
+RESTART_COST_S = 0.5  # work lost by any stop: the time until a restarted run makes progress
 
 
 @dataclass(frozen=True, slots=True)
 class _Eviction:
-    """Runs of one worker whose end makes room."""
+    """Runs of one worker to be preempted so that a task fits there."""
 
     worker: Worker
     victims: tuple[Run, ...]
-    loss: float  # core-seconds of work that is not saved
+    loss: float  # core-seconds of work that would be lost
 
 
 class Preemption:
-    """Makes room for steps that wait."""
+    """Preempts runs and reserves workers for blocked stages."""
 
     def __init__(self, context: Context, lifecycle: Lifecycle) -> None:
-        """Work on the shared state."""
+        """Work on the scheduler's shared state."""
         self._context = context
         self._lifecycle = lifecycle
-        self._allowance = MIN_VICTIM_BURST
+        self._allowance = MIN_VICTIM_BURST  # runs that may be preempted now: a token bucket
         self._allowance_updated_at = 0.0
-        self._reservation_owners: dict[str, Step] = {}  # by service, the step that keeps workers free for long
-        self._steps_with_reservations: set[Step] = set()  # steps with any claim
+        self._reservation_owners: dict[str, Step] = {}  # by service: the blocked stage that has reserved workers
+        self._steps_with_reservations: set[Step] = (
+            set()
+        )  # also those that preempt runs: they reserve the freed resources
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Reset to the initial state."""
         self._allowance = MIN_VICTIM_BURST
         self._allowance_updated_at = 0.0
         self._reservation_owners.clear()
         self._steps_with_reservations.clear()
 
     def handle_blocked_steps(self, queue: WorkQueue, workers: Sequence[Worker], now: float) -> None:
-        """See what the steps that found no room may do about it."""
+        """Let the blocked stages of a queue preempt runs or reserve workers, by rank."""
         self._refill_allowance(now)
         urgent = 0
         may_reserve = True
@@ -78,7 +80,7 @@
                 self._reserve_for(step, rank, workers, now)
 
     def release_reservations(self, step: Step) -> None:
-        """A step waits no more: what it kept free is open to all."""
+        """Release the workers reserved for a stage that has no waiting tasks any more."""
         if step not in self._steps_with_reservations:
             return
         self._steps_with_reservations.discard(step)
@@ -89,16 +91,16 @@
                 worker.reservation = None
                 self._context.dirty.add(worker)
 
-    # ---- stopping others
+    # ---- preemption
 
     def _refill_allowance(self, now: float) -> None:
-        passed = min(1.0, now - self._allowance_updated_at)
+        elapsed_s = min(1.0, now - self._allowance_updated_at)
         self._allowance_updated_at = now
         rate = VICTIMS_PER_WORKER_PER_S * max(4, len(self._context.workers))
-        self._allowance = min(max(MIN_VICTIM_BURST, rate), self._allowance + passed * rate)
+        self._allowance = min(max(MIN_VICTIM_BURST, rate), self._allowance + elapsed_s * rate)
 
     def _preempt_for(self, step: Step, rank: Rank, workers: Sequence[Worker], now: float) -> None:
-        """Stop lower-ranked runs for the tasks of an urgent step."""
+        """Preempt runs of a lower priority for the tasks of an urgent stage."""
         if now < step.next_preemption:
             return
         until = now + self._context.figures.stop_s + STOP_SLACK_S
@@ -116,8 +118,8 @@
             self._context.log.info("preempted", peer=eviction.worker.node, runs=len(eviction.victims), job=step.job.id)
 
     def _cheapest_eviction(self, step: Step, workers: Sequence[Worker], now: float) -> _Eviction | None:
-        """The worker where room for one task costs the least work."""
-        most = MAX_LOSS_RATIO * core_seconds(step, step.stage.estimate_s)
+        """Return the eviction that makes one task fit at the least loss of work; None if none is acceptable."""
+        max_loss = MAX_LOSS_RATIO * core_seconds(step, step.stage.estimate_s)
         best: _Eviction | None = None
         for worker in workers:
             if worker.reservation is not None and now < worker.reservation.until:
@@ -129,14 +131,14 @@
             ):
                 continue
             eviction = self._plan_eviction(step, worker, now)
-            if eviction is None or eviction.loss > most:
+            if eviction is None or eviction.loss > max_loss:
                 continue
             if best is None or eviction.loss < best.loss:
                 best = eviction
         return best
 
     def _plan_eviction(self, step: Step, worker: Worker, now: float) -> _Eviction | None:
-        """The runs to stop on a worker, those that lose least first; None if it can't be done."""
+        """Return the runs to stop on a worker, least loss first, until the task fits; None if it never does."""
         victims = [run for run in worker.runs.values() if self._is_preemptible(run, worker, now)]
         victims.sort(key=lambda run: unsaved_work(run, now))
         chosen: list[Run] = []
@@ -152,7 +154,7 @@
         return None
 
     def _is_preemptible(self, run: Run, worker: Worker, now: float) -> bool:
-        """Whether a run may be stopped for an urgent task."""
+        """Whether a run may be preempted by an urgent task."""
         step = run.task.step
         return (
             run.instance == worker.instance
@@ -163,42 +165,42 @@
             and run.percent < NEARLY_DONE_PERCENT
         )
 
-    # ---- keeping workers free
+    # ---- reservations
 
     def _reserve_for(self, step: Step, rank: Rank, workers: Sequence[Worker], now: float) -> None:
-        """Keep workers free for a step, if no other of its service does."""
+        """Reserve workers for a stage, unless another stage of its service holds a reservation."""
         service = step.job.service
-        holder = self._reservation_owners.get(service)
-        if holder is not None and any(_reserved_by(worker, holder, now) for worker in workers):
+        owner = self._reservation_owners.get(service)
+        if owner is not None and any(_reserved_by(worker, owner, now) for worker in workers):
             return
         if now < step.no_claim_before:
             return
         chosen = _workers_to_reserve(step, workers, now)
         if not chosen:
             return
-        lasts = min(MAX_RESERVATION_S, 1.0 + RESERVATION_ESTIMATE_FACTOR * step.stage.estimate_s)
-        step.no_claim_before = now + 2.0 * lasts
+        duration_s = min(MAX_RESERVATION_S, 1.0 + RESERVATION_ESTIMATE_FACTOR * step.stage.estimate_s)
+        step.no_claim_before = now + 2.0 * duration_s
         self._reservation_owners[service] = step
         self._steps_with_reservations.add(step)
         for worker in chosen:
-            worker.reservation = Reservation(step, rank, now + lasts)
+            worker.reservation = Reservation(step, rank, now + duration_s)
 
 
 def core_seconds(step: Step, seconds: float) -> float:
-    """Work that one task of a step does in so many seconds, a GPU counting as several cores."""
+    """Return the work of one task in a time span, where a GPU counts as several cores."""
     return (step.demand.cpu / 1_000.0 + CORES_PER_GPU * step.demand.gpu) * seconds
 
 
 def unsaved_work(run: Run, now: float) -> float:
-    """Core-seconds that are lost if a run is stopped now, with its gang if it has one."""
+    """Return the core-seconds lost if a run, and its gang if it has one, is stopped now."""
     step = run.task.step
-    kept = step.stage.long_running or step.stage.checkpoints  # a stop renews the checkpoint
-    lost_s = RESTART_COST_S if kept else RESTART_COST_S + now - run.placed_at
+    saves_work = step.stage.long_running or step.stage.checkpoints  # a stopped run saves a checkpoint first
+    lost_s = RESTART_COST_S if saves_work else RESTART_COST_S + now - run.placed_at
     return core_seconds(step, lost_s) * (len(step.tasks) if step.gang else 1)
 
 
 def _meets_constraints(step: Step, worker: Worker) -> bool:
-    """Whether a step's tasks may run on a worker, room apart."""
+    """Whether label and anti-affinity let a task of the stage run on a worker, regardless of free resources."""
     stage = step.stage
     if stage.node_selector and stage.node_selector not in worker.labels:
         return False
@@ -211,13 +213,13 @@
 
 
 def _workers_to_reserve(step: Step, workers: Sequence[Worker], now: float) -> list[Worker]:
-    """The workers that will soonest have room for the whole step if nothing new starts there."""
-    suited = [worker for worker in workers if _meets_constraints(step, worker) and worker.fits_when_empty(step.demand)]
-    unclaimed = [worker for worker in suited if worker.reservation is None or now >= worker.reservation.until]
+    """Return the least utilized workers that would together fit the stage; empty if there are too few."""
+    fitting = [worker for worker in workers if _meets_constraints(step, worker) and worker.fits_when_empty(step.demand)]
+    unreserved = [worker for worker in fitting if worker.reservation is None or now >= worker.reservation.until]
     if not step.gang:
-        return sorted(unclaimed, key=_utilization)[:1]
-    groups = racks_by_free_cpu(unclaimed) if step.stage.same_rack else []
-    for group in [*groups, unclaimed]:
+        return sorted(unreserved, key=_utilization)[:1]
+    groups = racks_by_free_cpu(unreserved) if step.stage.same_rack else []
+    for group in [*groups, unreserved]:
         chosen = _first_sufficient(step, sorted(group, key=_utilization))
         if chosen:
             return chosen
@@ -225,27 +227,27 @@
 
 
 def _first_sufficient(step: Step, workers: Sequence[Worker]) -> list[Worker]:
-    """The first of the workers that would together hold all tasks if they were empty."""
+    """Return the first of the workers that would together fit all tasks if they were empty; empty list if too few."""
     chosen: list[Worker] = []
-    room = 0
+    fitting = 0
     for worker in workers:
         chosen.append(worker)
-        room += _tasks_when_empty(step, worker)
-        if room >= len(step.tasks):
+        fitting += _tasks_when_empty(step, worker)
+        if fitting >= len(step.tasks):
             return chosen
     return []
 
 
 def _tasks_when_empty(step: Step, worker: Worker) -> int:
-    """How many tasks of the step an empty worker would hold."""
+    """Return how many tasks of the stage would fit on the worker if it were empty."""
     capacity, demand = worker.capacity, step.demand
     pairs = ((capacity.cpu, demand.cpu), (capacity.memory_mb, demand.memory_mb), (capacity.gpu, demand.gpu))
-    room = min((have // need for have, need in pairs if need), default=len(step.tasks))
-    return min(room, step.stage.anti_affinity) if step.stage.anti_affinity else room
+    fitting = min((available // requested for available, requested in pairs if requested), default=len(step.tasks))
+    return min(fitting, step.stage.anti_affinity) if step.stage.anti_affinity else fitting
 
 
 def _utilization(worker: Worker) -> float:
-    """The share of a worker that is in use."""
+    """Return the used share of the worker's CPU or GPUs, whichever is higher."""
     capacity = worker.capacity
     shares = [1.0 - worker.free_cpu / capacity.cpu] if capacity.cpu else [0.0]
     if capacity.gpu:
--- a/pipitledge/scheduling/queue_order.py
+++ b/pipitledge/scheduling/queue_order.py
@@ -1,7 +1,8 @@
-"""The order in which steps that wait for room are served.
+"""The order in which waiting stages are placed.
 
-Priority goes first. Within one, steps that can still meet their objective go before those that can only be late, and
-those before steps whose job earns nothing more; then the one that must start soonest; then the order of acceptance.
+Stages are ordered by priority, then by deadline class: stages that can still meet their objective, then those that can
+only complete late, then those whose job has no value left. Within a class they are ordered by latest start, delayed for
+jobs with much unfinished work, then by acceptance of the job.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 
 from pipitledge.scheduling.tasks import Step
 
-Rank = tuple[int, int, float, int, int, int]  # priority, band, latest start, order of the job, time, step
-DRAIN_WEIGHT = 8.0  # by how much later work goes that takes room from others: under overload the small earn more
-URGENT_PRIORITY = 0  # the only one for which others are stopped
+Rank = tuple[int, int, float, int, int, int]  # priority, deadline class, urgency, order of the job, occurrence, stage
+DRAIN_WEIGHT = 8.0  # seconds of delay per second of unfinished work: under overload, small jobs first yields more value
+URGENT_PRIORITY = 0  # the only priority that may preempt others
 GRACE_FRACTION = (
-    0.25  # of its remaining work, by which a step may be late and still count as in time: estimates are rough
+    0.25  # a stage counts as in time if late by less than this fraction of its remaining work, as estimates are rough
 )
 
 
 class DeadlineClass(enum.IntEnum):
-    """What a step can still earn."""
+    """Whether a stage can still complete in time, late, or too late to have any value."""
 
     IN_TIME = 0
     LATE = 1
@@ -30,7 +31,7 @@
 
 
 def deadline_class(step: Step, now: float) -> DeadlineClass:
-    """What a step can still earn if it starts now."""
+    """Return the deadline class of a stage if it started now."""
     if step.stage.long_running:
         return DeadlineClass.IN_TIME
     remaining = step.deadline - step.latest_start
@@ -42,59 +43,59 @@
 
 
 class WorkQueue:
-    """The steps of one service that have waiting tasks."""
+    """The stages of one service that have waiting tasks, sorted by rank."""
 
     def __init__(self, priority_of: Callable[[Step], int]) -> None:
-        """`priority_of` gives a step's priority, 0 going first."""
+        """`priority_of` returns the priority of a stage; 0 is the highest."""
         self._priority_of = priority_of
         self._steps: SortedDict = SortedDict()  # step by rank
         self._ranks: dict[Step, Rank] = {}
 
     def __len__(self) -> int:
-        """How many steps wait."""
+        """Return the number of waiting stages."""
         return len(self._ranks)
 
     def __contains__(self, step: Step) -> bool:
-        """Whether the step waits."""
+        """Whether the stage is in the queue."""
         return step in self._ranks
 
     def add(self, step: Step, now: float) -> None:
-        """Put a step into its place (again)."""
+        """Insert a stage, or move it if its rank has changed."""
         rank = self._compute_rank(step, now)
-        known = self._ranks.get(step)
-        if known == rank:
+        old_rank = self._ranks.get(step)
+        if old_rank == rank:
             return
-        if known is not None:
-            del self._steps[known]
+        if old_rank is not None:
+            del self._steps[old_rank]
         self._ranks[step] = rank
         self._steps[rank] = step
 
     def remove(self, step: Step) -> None:
-        """Take a step out, if it is there."""
+        """Remove a stage, if it is in the queue."""
         rank = self._ranks.pop(step, None)
         if rank is not None:
             del self._steps[rank]
 
     def rank(self, step: Step) -> Rank | None:
-        """Where a waiting step stands."""
+        """Return the rank of a waiting stage; None if it is not in the queue. The lowest rank goes first."""
         return self._ranks.get(step)
 
     def is_urgent(self, step: Step) -> bool:
-        """Whether the step waits, and may have others stopped."""
+        """Whether the stage waits and its priority allows preemption."""
         rank = self._ranks.get(step)
         return rank is not None and rank[0] == URGENT_PRIORITY
 
     def reorder(self, now: float) -> None:
-        """Move steps whose prospects have changed."""
+        """Recompute all ranks, which change as time passes."""
         for step in list(self._ranks):
             self.add(step, now)
 
     def in_order(self) -> Iterator[Step]:
-        """All steps, the first to be served first; the queue may change meanwhile."""
+        """Yield all stages by rank; the queue may be modified during the iteration."""
         yield from list(self._steps.values())
 
     def sorted(self, steps: set[Step]) -> list[Step]:
-        """Those of the steps that wait, in order."""
+        """Return those of the given stages that are in the queue, by rank."""
         return sorted((step for step in steps if step in self._ranks), key=self._ranks.__getitem__)
 
     def _compute_rank(self, step: Step, now: float) -> Rank:
--- a/pipitledge/scheduling/usage.py
+++ b/pipitledge/scheduling/usage.py
@@ -1,4 +1,4 @@
-"""What the primary publishes of its queues: made anew now and then, with a version that rises at each change."""
+"""The queue usage that the primary publishes: rebuilt periodically, with a version that rises at each change."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from pipitledge.configuration.datasets import QueueUsageReport
 from pipitledge.scheduling.context import Context
 
-USAGE_VALID_S = 0.25  # each node's pull asks for it; it is made anew no oftener than that
+USAGE_VALID_S = 0.25  # every pull of a node reads the report; it is rebuilt at most this often
 
 
 class UsagePublisher:
-    """Keeps the report that is handed out."""
+    """Caches the encoded usage report."""
 
     def __init__(self, context: Context, report: Callable[[], QueueUsageReport]) -> None:
-        """Publish what `report` gives while the context's node is primary."""
+        """`report` computes the usage; while this node is not primary, an empty report is published."""
         self._context = context
         self._report = report
         self._term = -1
@@ -23,7 +23,7 @@
         self._built_at = 0.0
 
     def current(self) -> tuple[int, bytes]:
-        """The report's version and the report, as a payload."""
+        """Return the version of the report and the encoded report."""
         now = self._context.clock.now()
         term = self._context.replicator.term
         if term != self._term or now - self._built_at >= USAGE_VALID_S:
--- a/pipitledge/scheduling/workers.py
+++ b/pipitledge/scheduling/workers.py
@@ -1,4 +1,4 @@
-"""Workers as the primary knows them: their lives, their room, and whether they are in touch."""
+"""The primary's view of the workers: their instances, free resources and reachability."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from pipitledge.scheduling.tasks import Demand, Run, Step
 from pipitledge.wire.messages import AgentReport, WorkerInfo
 
-HEARTBEATS_UNTIL_STALE = 2.5
-REPORT_STALE_S = 2.5  # without a report nothing new is placed
-MAX_DEAD_INSTANCES = 8
-DRAINING = "draining"
+HEARTBEATS_UNTIL_STALE = 2.5  # heartbeat intervals without a heartbeat until nothing new is placed
+REPORT_STALE_S = 2.5  # no new tasks are placed on a worker without a report for this long
+MAX_DEAD_INSTANCES = 8  # remembered per worker, to ignore late reports about them
+DRAINING = "draining"  # state of a worker that is about to leave, in its heartbeats
 NO_RESOURCES = Demand(0, 0, 0)
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class Reservation:
-    """A worker is kept free for a step; lower-ranked work doesn't start there."""
+    """Reserves a worker for a stage: until it expires, stages of a lower rank are not placed there."""
 
     step: Step
     rank: Rank
@@ -29,17 +29,16 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Worker:
-    """The worker beside one agent."""
+    """The state of one worker, as reported by the agent beside it; times are in seconds of this node's steady clock."""
 
     node: str
-    address: str = ""  # of its agent
-    incarnation: int = 0  # of its agent
-    candidate_incarnation: int = (
-        0  # another incarnation that has reported once since: a new one, or the late word of an old one
-    )
+    address: str = ""  # of the agent
+    incarnation: int = 0  # of the agent process
+    # Another incarnation that has reported once: a newly started agent, or a delayed report of a terminated one.
+    candidate_incarnation: int = 0
     candidate_report_number: int = 0
-    report_number: int = 0
-    instance: str = ""  # the life it is in, as far as known
+    report_number: int = 0  # of the newest report accepted from the present incarnation
+    instance: str = ""  # the present worker instance as last known; empty if none
     dead_instances: deque[str] = field(default_factory=lambda: deque(maxlen=MAX_DEAD_INSTANCES))
     service: str = ""
     slots: int = 0
@@ -47,32 +46,31 @@
     rack: str = ""
     capacity: Demand = NO_RESOURCES
     draining: bool = False
-    leaves_at: float = math.inf
-    cold_until: float = 0.0
+    leaves_at: float = math.inf  # when a draining worker terminates; infinite if not announced
+    cold_until: float = 0.0  # until then it is slower than usual, because it was started recently
     free_cpu: int = 0
     free_memory_mb: int = 0
     free_gpu: int = 0
-    runs: dict[str, Run] = field(default_factory=dict)  # by task; all lives that may still run
-    unexpected_runs: dict[tuple[str, int], Demand | None] = field(default_factory=dict)  # shown there and not wanted
-    unexpected_stops_sent_at: dict[tuple[str, int], float] = field(
-        default_factory=dict
-    )  # when they were last told to stop
-    last_end_received: int = 0
-    acknowledged: int = 0
+    runs: dict[str, Run] = field(default_factory=dict)  # by task; of all instances that may still be running
+    # Runs that the worker reports and the primary did not assign, by task and run number; None: request unknown.
+    unexpected_runs: dict[tuple[str, int], Demand | None] = field(default_factory=dict)
+    unexpected_stops_sent_at: dict[tuple[str, int], float] = field(default_factory=dict)  # when a stop was last ordered
+    last_end_received: int = 0  # number of the last ended run received from the present instance
+    acknowledged: int = 0  # number of the last ended run acknowledged: its outcome is committed
     reported_at: float = -math.inf
-    leases_expire_at: float = math.inf  # after it everything it runs has lapsed for certain
+    leases_expire_at: float = math.inf  # latest end of its task leases: after it, all of its runs have certainly ended
     heartbeat_at: float = -math.inf
-    silent: bool = False
-    unreachable: bool = False  # orders could not be handed to its agent since its last report
-    hold_number: int = 0
-    hold_sent_at: float = -math.inf  # when the call was sent that its lists answered
-    hold_current: bool = False  # its lists were told under this primary's fence
+    silent: bool = False  # its agent gets no answers from it
+    unreachable: bool = False  # sending orders to its agent has failed since the last report
+    hold_number: int = 0  # of the hold call whose lists of runs were received last
+    hold_sent_at: float = -math.inf  # when the agent sent that hold call
+    hold_current: bool = False  # that hold call carried the fencing token of this primary
     health: WorkerHealth = field(default_factory=WorkerHealth)
     reservation: Reservation | None = None
     push_failures: int = 0
 
     def usable(self, now: float, heartbeat_s: float) -> bool:
-        """Whether new tasks may be placed there."""
+        """Whether new tasks may be placed on the worker, regardless of free resources."""
         return (
             self.hold_current
             and not self.draining
@@ -84,7 +82,7 @@
         )
 
     def accept_report(self, report: AgentReport) -> bool:
-        """Whether a report is newer than all others so far; takes note of it if so."""
+        """Whether a report is newer than all earlier ones; if so, record its number and incarnation."""
         if report.incarnation == self.incarnation or not self.incarnation:
             if report.number <= self.report_number:
                 return False
@@ -96,9 +94,9 @@
         return True
 
     def _confirms_candidate(self, report: AgentReport) -> bool:
-        """Whether another incarnation reports again before the present one does: then it has taken over.
+        """Whether another incarnation has now reported twice in a row, so that it replaces the present one.
 
-        A report of a process that is gone may come late, but no other one after it.
+        A single report may be a delayed one of a terminated process.
         """
         if self.candidate_incarnation != report.incarnation or report.number <= self.candidate_report_number:
             self.candidate_incarnation = report.incarnation
@@ -110,7 +108,7 @@
         return True
 
     def begin_instance(self, instance: str) -> None:
-        """Its worker has started anew."""
+        """Reset the state for a new worker instance; an empty name means that none is known."""
         self.instance = instance
         self.last_end_received = 0
         self.acknowledged = 0
@@ -125,14 +123,14 @@
         self.recompute_free()
 
     def end_instance(self, instance: str) -> None:
-        """A life is over for certain."""
+        """Record that a worker instance is confirmed dead."""
         if instance and instance not in self.dead_instances:
             self.dead_instances.append(instance)
         if instance == self.instance:
             self.begin_instance("")
 
     def update_from_heartbeat(self, info: WorkerInfo, now: float, age_s: float) -> None:
-        """Take over what its newest heartbeat tells."""
+        """Update the worker from its newest heartbeat, which was `age_s` old at `now`."""
         capacity = Demand(info.cpu, info.memory_mb, info.gpu)
         self.service = info.service
         self.slots = info.slots
@@ -141,37 +139,39 @@
             self.rack = rack_of(info.labels)
         self.heartbeat_at = max(self.heartbeat_at, now - age_s)
         self.draining = info.state == DRAINING
-        told = self.draining and info.remaining_ms >= 0
-        self.leaves_at = now - age_s + info.remaining_ms / 1_000.0 if told else math.inf
+        announced = self.draining and info.remaining_ms >= 0
+        self.leaves_at = now - age_s + info.remaining_ms / 1_000.0 if announced else math.inf
         self.cold_until = now - age_s + info.cold_remaining_ms / 1_000.0
         if capacity != self.capacity:
             self.capacity = capacity
             self.recompute_free()
 
     def add(self, run: Run, demand: Demand) -> None:
-        """A run takes room."""
+        """Add a run and allocate its resources, if it belongs to the present instance."""
         self.runs[run.task.name] = run
         if run.instance != self.instance:
             return
         self.allocate(demand)
-        if self.health.on_trial and not run.task.step.stage.long_running:  # such a trial would never end
+        if (
+            self.health.on_trial and not run.task.step.stage.long_running
+        ):  # a trial with a long-running task would never end
             self.health.trial_task = run.task.name
             self.health.trial_at = run.placed_at
 
     def allocate(self, demand: Demand) -> None:
-        """Use some of its room."""
+        """Subtract a resource request from the free resources."""
         self.free_cpu -= demand.cpu
         self.free_memory_mb -= demand.memory_mb
         self.free_gpu -= demand.gpu
 
     def release(self, demand: Demand) -> None:
-        """Give room back."""
+        """Add a resource request back to the free resources."""
         self.free_cpu += demand.cpu
         self.free_memory_mb += demand.memory_mb
         self.free_gpu += demand.gpu
 
     def remove(self, run: Run, demand: Demand) -> bool:
-        """A run's room is free again; False if it held none."""
+        """Remove a run and release its resources; returns False if the run is not on the worker."""
         if self.runs.get(run.task.name) is not run:
             return False
         del self.runs[run.task.name]
@@ -182,7 +182,7 @@
         return True
 
     def update_unexpected_runs(self, unexpected_runs: dict[tuple[str, int], Demand | None]) -> bool:
-        """Take note of unwanted runs that its list shows; whether anything changed."""
+        """Replace the unexpected runs by those that the worker reports now; returns whether they changed."""
         if unexpected_runs == self.unexpected_runs:
             return False
         self.unexpected_runs = unexpected_runs
@@ -193,25 +193,27 @@
         return True
 
     def recompute_free(self) -> None:
-        """Reckon its room from nothing."""
+        """Compute the free resources from the capacity and all runs."""
         used = [run.task.step.demand for run in self.runs.values() if run.instance == self.instance]
         for demand in self.unexpected_runs.values():
-            used.append(self.capacity if demand is None else demand)  # of unknown size: it may be full
+            used.append(
+                self.capacity if demand is None else demand
+            )  # unknown request: the run may use all of the worker
         self.free_cpu = self.capacity.cpu - sum(demand.cpu for demand in used)
         self.free_memory_mb = self.capacity.memory_mb - sum(demand.memory_mb for demand in used)
         self.free_gpu = self.capacity.gpu - sum(demand.gpu for demand in used)
 
     def fits(self, demand: Demand) -> bool:
-        """Whether it has room for one more such task."""
+        """Whether the free resources suffice for one more such task."""
         return self.free_cpu >= demand.cpu and self.free_memory_mb >= demand.memory_mb and self.free_gpu >= demand.gpu
 
     def fits_when_empty(self, demand: Demand) -> bool:
-        """Whether it would have room if it were empty."""
+        """Whether the capacity would suffice for such a task if the worker were empty."""
         capacity = self.capacity
         return capacity.cpu >= demand.cpu and capacity.memory_mb >= demand.memory_mb and capacity.gpu >= demand.gpu
 
     def free_share_after(self, demand: Demand) -> float:
-        """The scarcest free share of its capacity once such a task is placed."""
+        """Return the free share of the scarcest resource after placing such a task."""
         capacity = self.capacity
         share = 1.0
         if capacity.cpu:
@@ -225,14 +227,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceCapacity:
-    """What the workers of one service have in all, in use or free."""
+    """The total capacity of the workers of one service, used or free."""
 
     workers: int = 0
     slots: int = 0
-    mean_worker: Demand = NO_RESOURCES  # of a mean worker
+    mean_worker: Demand = NO_RESOURCES  # average capacity per worker
 
     def share_of(self, demand: Demand) -> float:
-        """The largest share of a mean worker that such a task takes."""
+        """Return the share of the mean worker that such a task takes, of its scarcest resource."""
         mean = self.mean_worker
         share = 0.0
         if mean.cpu:
@@ -245,7 +247,7 @@
 
 
 def total_capacity(workers: list[Worker]) -> ServiceCapacity:
-    """What some workers have in all."""
+    """Return the total capacity of some workers of one service."""
     count = len(workers)
     if not count:
         return ServiceCapacity()
@@ -258,7 +260,7 @@
 
 
 def rack_of(labels: list[str]) -> str:
-    """The label that names the rack: the one with a number in it, such as `r1-3`."""
+    """Return the label that names the rack: the last one that contains a digit, such as `r1-3`, else the last one."""
     numbered = [label for label in labels if any(character.isdecimal() for character in label)]
     if numbered:
         return numbered[-1]
