--- a/pipitledge/scheduling/preemption.py
+++ b/pipitledge/scheduling/preemption.py
@@ -23,12 +23,12 @@
 PREEMPTION_COOLDOWN_S = 6.0  # a preempted task is not preempted again within this time
 NEARLY_DONE_PERCENT = 90.0  # runs beyond this progress are not preempted
 MAX_LOSS_RATIO = 3.0  # at most this multiple of the urgent task's own work may be lost for it
-CORES_PER_GPU = 8.0  # to compare the work of tasks with and without GPUs
+CORES_PER_GPU = 8.0  # a GPU counts as this many cores of work
 GANG_RESERVATION_DELAY_S = 0.5  # a gang may reserve workers after being blocked this long
 TASK_RESERVATION_DELAY_S = 1.5  # a single task may do so after being blocked this long
 RESERVATION_ESTIMATE_FACTOR = 1.5  # a reservation lasts a second plus this multiple of the estimated task duration
 MAX_RESERVATION_S = 10.0
-STOP_SLACK_S = 0.5  # beyond the longest stop, until resources of preempted runs are free
+STOP_SLACK_S = 0.5  # resources of preempted runs stay reserved this much longer than a stop takes at most
 RESTART_COST_S = 0.5  # work lost by any stop: the time until a restarted run makes progress
 
 
@@ -51,9 +51,7 @@
         self._allowance = MIN_VICTIM_BURST  # runs that may be preempted now: a token bucket
         self._allowance_updated_at = 0.0
         self._reservation_owners: dict[str, Step] = {}  # by service: the blocked stage that has reserved workers
-        self._steps_with_reservations: set[Step] = (
-            set()
-        )  # also those that preempt runs: they reserve the freed resources
+        self._steps_with_reservations: set[Step] = set()  # also urgent ones: they reserve what preempted runs free
 
     def clear(self) -> None:
         """Reset to the initial state."""
@@ -187,7 +185,7 @@
 
 
 def core_seconds(step: Step, seconds: float) -> float:
-    """Return the work of one task in a time span, where a GPU counts as several cores."""
+    """Return the work that one task of a stage does in that many seconds; a GPU counts as several cores."""
     return (step.demand.cpu / 1_000.0 + CORES_PER_GPU * step.demand.gpu) * seconds
 
 
@@ -213,7 +211,7 @@
 
 
 def _workers_to_reserve(step: Step, workers: Sequence[Worker], now: float) -> list[Worker]:
-    """Return the least utilized workers that would together fit the stage; empty if there are too few."""
+    """Return the workers that would fit the stage soonest if nothing new started there; empty if there are too few."""
     fitting = [worker for worker in workers if _meets_constraints(step, worker) and worker.fits_when_empty(step.demand)]
     unreserved = [worker for worker in fitting if worker.reservation is None or now >= worker.reservation.until]
     if not step.gang:
--- a/pipitledge/scheduling/workers.py
+++ b/pipitledge/scheduling/workers.py
@@ -196,9 +196,7 @@
         """Compute the free resources from the capacity and all runs."""
         used = [run.task.step.demand for run in self.runs.values() if run.instance == self.instance]
         for demand in self.unexpected_runs.values():
-            used.append(
-                self.capacity if demand is None else demand
-            )  # unknown request: the run may use all of the worker
+            used.append(self.capacity if demand is None else demand)  # a run of unknown size may use all of the worker
         self.free_cpu = self.capacity.cpu - sum(demand.cpu for demand in used)
         self.free_memory_mb = self.capacity.memory_mb - sum(demand.memory_mb for demand in used)
         self.free_gpu = self.capacity.gpu - sum(demand.gpu for demand in used)
--- a/tests/system/start_judge.py
+++ b/tests/system/start_judge.py
@@ -1,4 +1,4 @@
-"""Sees every start and end on the workers of the scheduler's tests, and writes down each rule that is broken."""
+"""Checks the scheduling rules at every start and end of a run in the scheduler's tests, and records violations."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 if TYPE_CHECKING:
     from tests.system.scheduling_cluster import Cluster
 
-WORK_SPREAD = 0.02  # part of a task's work by which it may be longer or shorter
-COPY_GRACE_S = 1.0  # a machine in touch starts no copy later than that after an end `done` was noted
+WORK_SPREAD = 0.02  # actual work differs from the nominal work by at most this fraction
+COPY_GRACE_S = 1.0  # a reachable worker starts no copy later than this after a success was acknowledged
 
 
 class Judge:
-    """Sees every start and end, and writes down what breaks a rule."""
+    """Observes every start and end of a run, and records each violation of a scheduling rule."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
         self.violations: list[str] = []
-        self.acknowledged_done: dict[str, float] = {}  # tasks whose end `done` was taken note of, and when
-        self.acknowledged_failures: dict[str, set[tuple[str, int]]] = {}
+        self.acknowledged_done: dict[str, float] = {}  # tasks whose success was acknowledged to the worker, and when
+        self.acknowledged_failures: dict[str, set[tuple[str, int]]] = {}  # by task or gang: failed runs
         self.ended_done: set[str] = set()
         self.ends: list[tuple[float, str, int, str, str]] = []  # time, task, run, how, node
         self.starts: list[tuple[float, str, int, str, str]] = []  # time, task, run, node, saved
-        self.checkpoints: dict[str, set[str]] = {}  # checkpoints by task (of a gang: by step)
+        self.checkpoints: dict[str, set[str]] = {}  # by task; those of a gang by its stage
 
     def checkpoint_owner(self, task: str) -> str:
-        """Whose checkpoints a task may be started from."""
+        """The name under which checkpoints and failures of a task count: its own, or that of its gang's stage."""
         return task.rsplit(".", 1)[0] if self.cluster.stage(task)["gang"] else task
 
     def started(self, worker: ModelWorker, live: LiveRun, spec: str) -> None:
-        """A worker began a run."""
+        """A worker started a run: check it against all rules."""
         cluster = self.cluster
         now = cluster.world.time
         task = live.task
@@ -44,14 +44,16 @@
             return
         if live.saved and live.saved not in self.checkpoints.get(self.checkpoint_owner(task), set()):
             self.report_violation(f"UNASKED {task}: checkpoint {live.saved}")
-        timely = cluster.in_touch(worker.node) and not worker.taking_late
-        if timely and cluster.cancelled.get(job, now) < now - cluster.bounds.cancel_ms / 1_000.0:
-            self.report_violation(f"UNASKED {task}: started {now - cluster.cancelled[job]:.2f} s after its cancelling")
+        prompt = cluster.in_touch(worker.node) and not worker.taking_late
+        if prompt and cluster.cancelled.get(job, now) < now - cluster.bounds.cancel_ms / 1_000.0:
+            self.report_violation(
+                f"UNASKED {task}: started {now - cluster.cancelled[job]:.2f} s after its cancellation"
+            )
         speculative = cluster.stage(task)["speculative"]
         elsewhere = any(task in other.life.running and other is not worker for other in cluster.live_workers())
         if elsewhere and not speculative:
             self.report_violation(f"TWICE {task}: runs elsewhere")
-        late = timely and now > self.acknowledged_done.get(task, now) + COPY_GRACE_S
+        late = prompt and now > self.acknowledged_done.get(task, now) + COPY_GRACE_S
         if task in self.acknowledged_done and (late or not speculative):
             self.report_violation(f"TWICE {task}: was done")
         failures = 0 if cluster.stage(task)["longRunning"] else len(self.acknowledged_failures.get(task, ()))
@@ -61,6 +63,7 @@
         self._check_placement(worker, task)
 
     def _check_order(self, task: str) -> None:
+        """A task starts after all tasks that it depends on, and not before its occurrence is due."""
         job, time, step, _ = task.split(".")
         body = self.cluster.bodies[job]
         for earlier in body["stages"][int(step)].get("dependsOn", []):
@@ -73,6 +76,7 @@
                 self.report_violation(f"ORDER {task}: early")
 
     def _check_placement(self, worker: ModelWorker, task: str) -> None:
+        """A task starts only where capacity, node selector, anti-affinity and the drain state allow it."""
         stage = self.cluster.stage(task)
         for name, capacity in worker.plan.capacity.items():
             used = sum(self.cluster.stage(other)[name] for other in worker.life.running)
@@ -81,9 +85,9 @@
         if stage["nodeSelector"] and stage["nodeSelector"] not in worker.plan.labels:
             self.report_violation(f"ROUTE {task}: label")
         family = task.rsplit(".", 1)[0]
-        alike = sum(other.rsplit(".", 1)[0] == family for other in worker.life.running)
-        if stage["antiAffinity"] and alike > stage["antiAffinity"]:
-            self.report_violation(f"ROUTE {task}: {alike} on one worker")
+        same_stage = sum(other.rsplit(".", 1)[0] == family for other in worker.life.running)
+        if stage["antiAffinity"] and same_stage > stage["antiAffinity"]:
+            self.report_violation(f"ROUTE {task}: {same_stage} on one worker")
         acknowledged = worker.life.drain_acknowledged
         late = (
             acknowledged is not None and self.cluster.world.time > acknowledged + self.cluster.bounds.drain_ms / 1_000.0
@@ -104,22 +108,22 @@
         self.checkpoints.setdefault(self.checkpoint_owner(task), set()).add(text)
 
     def stage(self, task: str) -> dict[str, Any]:
-        """The step of a task."""
+        """The stage of a task, with defaults filled in."""
         return self.cluster.stage(task)
 
     def work(self, task: str, run: int) -> Work:
-        """What a run is like, where it runs; no two tasks take exactly as long as each other."""
+        """Duration and outcome of a run; durations vary a little, so that no two tasks take exactly the same time."""
         behaviour = self.cluster.behaviour(task)
         seconds = behaviour.work_s * Random(task).uniform(1.0 - WORK_SPREAD, 1.0 + WORK_SPREAD)
         return Work(seconds, behaviour.fails(task, run, self.cluster.node_of_run(task, run)))
 
     def noted(self, worker: ModelWorker, end: RunEnd) -> None:
-        """`lastSeen` reached an end before which the hold had not run out."""
+        """A worker's list of ended runs was acknowledged up to this end, and its task leases had not expired before."""
         task, run = end.task, end.run
         if end.how == "done":
             started_since = any(name == task and at > end.at for at, name, *_ in self.starts)
             if started_since and not self.cluster.stage(task)["speculative"]:
-                self.report_violation(f"TWICE {task}: started after its end, which was noted later")
+                self.report_violation(f"TWICE {task}: started after its end, which was acknowledged later")
             now = self.cluster.world.time
             self.acknowledged_done.setdefault(task, now)
             if self.cluster.stage(task)["gang"]:
@@ -133,5 +137,5 @@
             self.acknowledged_failures[task] = {(task, number) for number in runs}
 
     def report_violation(self, text: str) -> None:
-        """A rule is broken."""
+        """Record the violation of a rule."""
         self.violations.append(f"{self.cluster.world.time:.3f} {text}")
--- a/tests/system/test_local_admission.py
+++ b/tests/system/test_local_admission.py
@@ -1,4 +1,4 @@
-"""Admission at ingress nodes: the same figures give the same decision as at the primary, and doubt refuses nothing."""
+"""Admission at ingress nodes: the same usage gives the same decision as at the primary; in doubt nothing is refused."""
 
 from __future__ import annotations
 
@@ -38,18 +38,22 @@
 from tests.system.scheduling_cluster import PLAIN, ROUTES, SERVICE, URGENT, Behaviour, Cluster, FakeReplicator, job_id
 from tests.system.virtual import World
 
-PRIMARYS_OWN = ("pipitledge.scheduling.context", "pipitledge.scheduling.lifecycle", "pipitledge.scheduling.workers")
-SLOTS_A_WORKER = 8  # of the model
+PRIMARY_ONLY_MODULES = (
+    "pipitledge.scheduling.context",
+    "pipitledge.scheduling.lifecycle",
+    "pipitledge.scheduling.workers",
+)
+SLOTS_PER_WORKER = 8  # of the model workers
 SLOW = Behaviour(work_s=60.0)
 
 
 def job_of(slots: int, cpu: int = 1_000, **fields: object) -> bytes:
-    """A job that weighs so many slots, where a slot comes with a core."""
+    """A job that weighs that many slots, on workers with one core per slot."""
     return json.dumps({"stages": [{"count": slots, "cpu": cpu} | fields]}).encode()
 
 
 class TimedCaller(ScriptedCaller):
-    """Knows when the last call was sent."""
+    """Records when the last call was sent."""
 
     def __init__(self, world: World) -> None:
         super().__init__()
@@ -62,7 +66,7 @@
 
 
 class Puller:
-    """An ingress node's admission, and the usage it has pulled."""
+    """The admission of an ingress node, with the usage that it has pulled."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -72,7 +76,7 @@
         self.plane.start()
 
     def await_pull(self) -> None:
-        """Let time pass until the node pulls; a pull that was sent earlier fails."""
+        """Let time pass until the node pulls; an earlier pull that is still unanswered fails."""
         if self.caller.waiting and self.caller.sent_at < self.world.time:
             self.caller.answer(None)
         self.world.run_while(lambda: not self.caller.waiting, 1.0)
@@ -84,14 +88,14 @@
 
 
 class NodeCase(unittest.TestCase):
-    """One node; its pool has 20 slots in 4 workers, so 80 with the least depth."""
+    """One node; its service has 20 slots on 4 workers, so a capacity of 80 slots at the minimum queue depth."""
 
     def setUp(self) -> None:
         self.node = Puller(World())
         self.admission = self.node.admission
 
     def pull(self, version: int = 1, **inflight: float) -> None:
-        """Have the node pull the usage of the two queues; each may use 40 slots, 8 of them are reserved."""
+        """Let the node pull the usage of the two queues; each may use 40 slots, of which 8 are reserved for it."""
         busy = {
             route.name: QueueFigures(inflight[route.name], route.priority) for route in ROUTES if route.name in inflight
         }
@@ -104,36 +108,36 @@
         return self.admission.judge(route, job_id(number), job_of(slots)).refused
 
 
-class FourStepsTest(NodeCase):
+class AdmissionStepsTest(NodeCase):
     def test_limit(self) -> None:
         self.pull(plain=38.0)
         self.assertFalse(self.refused(2, 1))
         self.assertTrue(self.refused(3, 2))
 
-    def test_reservation_holds_with_the_remainder_used_up(self) -> None:
+    def test_reservation_is_available_when_the_remainder_is_used_up(self) -> None:
         self.pull(plain=3.0, urgent=72.0)
         self.assertFalse(self.refused(5, 1))
         self.assertTrue(self.refused(6, 2))
 
     def test_remainder(self) -> None:
-        self.pull(plain=10.0, urgent=60.0)  # 2 and 52 of the 64 that nobody has reserved
+        self.pull(plain=10.0, urgent=60.0)  # they use 2 and 52 of the 64 unreserved slots
         self.assertFalse(self.refused(10, 1))
         self.assertTrue(self.refused(11, 2))
 
-    def test_what_yields_to_a_job_does_not_count_against_it(self) -> None:
+    def test_queues_of_lower_priority_do_not_count(self) -> None:
         self.pull(plain=400.0, urgent=38.0)
         self.assertFalse(self.refused(2, 1, URGENT))
-        self.assertTrue(self.refused(3, 2, URGENT))  # over the limit of its own queue
+        self.assertTrue(self.refused(3, 2, URGENT))  # exceeds the limit of its own queue
 
-    def test_what_goes_first_counts_against_a_job(self) -> None:
+    def test_queues_of_higher_priority_count(self) -> None:
         self.pull(plain=10.0, urgent=72.0)
         self.assertTrue(self.refused(1, 1, PLAIN))
 
-    def test_an_idle_queues_job_is_taken_whatever_its_size(self) -> None:
+    def test_first_job_of_an_idle_queue_is_admitted_regardless_of_size(self) -> None:
         self.pull(urgent=72.0)
         self.assertFalse(self.refused(100))
 
-    def test_a_refusal_tells_when_to_come_back(self) -> None:
+    def test_refusal_contains_a_retry_delay(self) -> None:
         self.pull(plain=100.0)
         judgement = self.admission.judge(PLAIN, job_id(1), job_of(4))
         self.assertTrue(judgement.refused)
@@ -151,34 +155,34 @@
         self.node.world.run_for(0.02)
         self.assertFalse(self.refused(1, 2))
 
-    def test_a_queue_or_a_service_that_is_not_told_of(self) -> None:
+    def test_queue_or_service_missing_from_the_usage_is_not_refused(self) -> None:
         self.pull(plain=40.0)
         self.assertFalse(self.refused(1, 1, Route("new", "jobs.example", "/new/", SERVICE)))
         self.assertFalse(self.refused(1, 2, Route("plain", "jobs.example", "/plain/", "another")))
 
-    def test_what_the_primary_calls_bad(self) -> None:
+    def test_invalid_jobs_are_left_to_the_primary(self) -> None:
         self.pull(plain=40.0)
         for name, body in ((job_id(1), b"{"), (job_id(2), b'{"stages":[]}'), ("x/" + job_id(3), job_of(1))):
             self.assertEqual(self.admission.judge(PLAIN, name, body), LEFT_TO_PRIMARY)
 
-    def test_a_job_that_was_handed_on_once_is_never_refused(self) -> None:
+    def test_job_forwarded_once_is_never_refused(self) -> None:
         self.pull(plain=39.0)
         accepted = self.admission.judge(PLAIN, job_id(1), job_of(1))
         self.admission.accepted(accepted)
         self.assertTrue(self.refused(1, 2))
         self.assertFalse(self.refused(1, 1))
 
-    def test_a_job_handed_on_without_usage_is_remembered_too(self) -> None:
+    def test_job_forwarded_without_usage_is_remembered(self) -> None:
         self.assertFalse(self.refused(1, 1))
         self.pull(plain=40.0)
         self.assertFalse(self.refused(1, 1))
         self.assertTrue(self.refused(1, 2))
 
-    def test_a_job_refused_here_was_not_handed_on(self) -> None:
+    def test_refused_job_does_not_count_as_forwarded(self) -> None:
         self.pull(plain=40.0)
         self.assertEqual([self.refused(1, 1), self.refused(1, 1)], [True, True])
 
-    def test_so_many_jobs_are_remembered(self) -> None:
+    def test_number_of_remembered_jobs_is_bounded(self) -> None:
         with mock.patch.object(local_admission, "JOBS_REMEMBERED", 2):
             for number in (1, 2, 1, 3):
                 self.refused(1, number)
@@ -187,32 +191,32 @@
 
 
 class CountTest(NodeCase):
-    def test_what_this_node_let_in_counts(self) -> None:
+    def test_jobs_admitted_through_this_node_count(self) -> None:
         self.pull(plain=36.0)
         self.admission.accepted(self.admission.judge(PLAIN, job_id(1), job_of(4)))
         self.assertTrue(self.refused(1, 2))
 
-    def test_what_others_borrow_through_this_node_counts(self) -> None:
+    def test_borrowing_of_other_queues_through_this_node_counts(self) -> None:
         self.pull(plain=10.0, urgent=30.0)
         self.admission.accepted(self.admission.judge(URGENT, job_id(1), job_of(10)))
         self.assertFalse(self.refused(30, 2))
         self.admission.accepted(self.admission.judge(PLAIN, job_id(3), job_of(29)))
         self.assertTrue(self.refused(2, 4))
 
-    def test_until_newer_usage_contains_it(self) -> None:
+    def test_locally_admitted_job_counts_only_until_newer_usage_contains_it(self) -> None:
         self.pull(plain=36.0)
         self.admission.accepted(self.admission.judge(PLAIN, job_id(1), job_of(4)))
         self.pull(version=2, plain=38.0)
         self.assertFalse(self.refused(2, 2))
 
-    def test_not_if_usage_that_came_before_its_answer_may_contain_it(self) -> None:
+    def test_job_does_not_count_if_usage_received_before_its_answer_may_contain_it(self) -> None:
         self.pull(plain=36.0)
         judgement = self.admission.judge(PLAIN, job_id(1), job_of(4))
         self.pull(version=2, plain=38.0)
         self.admission.accepted(judgement)
         self.assertFalse(self.refused(2, 2))
 
-    def test_a_job_that_no_usage_weighed_does_not_count(self) -> None:
+    def test_job_without_usage_at_its_decision_does_not_count(self) -> None:
         judgement = self.admission.judge(PLAIN, job_id(1), job_of(40))
         self.pull(plain=1.0)
         self.admission.accepted(judgement)
@@ -220,7 +224,7 @@
 
 
 class PrimaryCase(unittest.TestCase):
-    """A primary with four workers of eight slots, and a node that pulls from it."""
+    """A primary with four workers of eight slots each, and an ingress node that pulls from it."""
 
     def setUp(self) -> None:
         self.cluster = Cluster(workers=4)
@@ -236,7 +240,7 @@
         return decode_usage(self.usage()[1])
 
     def admits(self, number: int, body: dict[str, Any], route: Route) -> bool:
-        """Whether the primary takes a job in."""
+        """Submit a job to the primary and return whether it is admitted."""
         replies = self.cluster.submit(job_id(number), body, route, SLOW)
         self.cluster.world.run_while(lambda: not replies, 1.0)
         reply = replies[0]
@@ -246,16 +250,16 @@
 
 
 class PublishedTest(PrimaryCase):
-    def test_figures(self) -> None:
+    def test_published_values(self) -> None:
         self.admits(1, {"stages": [{"count": 4, "cpu": 2_000}]}, PLAIN)
         self.cluster.run(USAGE_VALID_S)
         pool = self.report().pools[SERVICE]
-        self.assertEqual((pool.capacity, pool.workers, pool.cpu), (4.0 * SLOTS_A_WORKER, 4, 8_000))
+        self.assertEqual((pool.capacity, pool.workers, pool.cpu), (4.0 * SLOTS_PER_WORKER, 4, 8_000))
         self.assertEqual((pool.queue_limit, pool.queue_reservation), (32.0, 8.0))
         self.assertEqual(pool.busy, {"plain": QueueFigures(8.0, priority=PLAIN.priority)})
         self.assertEqual({level: count for level, count in pool.idle.items() if count}, {URGENT.priority: 1})
 
-    def test_weight_returns_when_a_job_ends(self) -> None:
+    def test_weight_is_released_when_a_job_ends(self) -> None:
         self.admits(1, {"stages": [{"count": 4, "cpu": 2_000}]}, PLAIN)
         self.cluster.cancel(job_id(1))
         self.cluster.run(USAGE_VALID_S)
@@ -268,12 +272,12 @@
         self.cluster.run(USAGE_VALID_S)
         self.assertIn(SERVICE, self.report().pools)
 
-    def test_it_stays_while_nothing_changes(self) -> None:
+    def test_report_stays_the_same_while_nothing_changes(self) -> None:
         before = self.usage()
         self.cluster.run(2.0)
         self.assertEqual(self.usage(), before)
 
-    def test_it_is_made_anew_now_and_then(self) -> None:
+    def test_report_is_rebuilt_periodically(self) -> None:
         version, payload = self.usage()
         with mock.patch.object(self.cluster.primary.replicator, "commit_s", 0.0):  # type: ignore[union-attr]
             self.admits(1, {"stages": [{"cpu": 2_000}]}, PLAIN)
@@ -281,7 +285,7 @@
         self.cluster.run(USAGE_VALID_S)
         self.assertGreater(self.usage()[0], version)
 
-    def test_a_job_for_a_job_is_a_change(self) -> None:
+    def test_replacing_a_job_by_an_equal_one_raises_the_version(self) -> None:
         self.admits(1, {"stages": [{"cpu": 2_000}]}, PLAIN)
         self.cluster.run(USAGE_VALID_S)
         version, payload = self.usage()
@@ -291,10 +295,10 @@
         self.assertEqual(self.report().pools, decode_usage(payload).pools)
         self.assertGreater(self.usage()[0], version)
 
-    def test_a_jobs_depth_depends_on_how_late_it_still_earns(self) -> None:
+    def test_late_factor_is_published(self) -> None:
         self.assertEqual(self.report().pools[SERVICE].late_factor, LATE_FACTOR)
 
-    def test_of_a_new_term_at_once(self) -> None:
+    def test_new_term_publishes_at_once(self) -> None:
         primary = self.cluster.primary
         assert primary is not None
         version, _ = self.usage()
@@ -305,13 +309,13 @@
             self.assertEqual(self.report().pools, {})
             self.assertGreater(self.usage()[0], version)
 
-    def test_a_scheduler_that_is_not_active_publishes_nothing(self) -> None:
+    def test_inactive_scheduler_publishes_nothing(self) -> None:
         assert self.cluster.primary is not None
         self.cluster.primary.scheduler.deactivated()
         self.cluster.run(USAGE_VALID_S)
         self.assertEqual(self.report(), QueueUsageReport())
 
-    def test_routes_that_are_gone_are_left_out(self) -> None:
+    def test_removed_routes_are_left_out(self) -> None:
         self.cluster.configuration = Configuration(2, (PLAIN,), (Service(SERVICE),))
         self.cluster.run(USAGE_VALID_S)
         pool = self.report().pools[SERVICE]
@@ -320,7 +324,7 @@
 
 class SameDecisionTest(PrimaryCase):
     def compare(self, number: int, body: dict[str, Any], route: Route) -> bool:
-        """Both decide on the figures of this moment; whether they take the job in."""
+        """Let the node and the primary decide by the present usage, and return whether both admit the job."""
         self.cluster.run(USAGE_VALID_S)
         assert self.cluster.primary is not None
         self.node.await_pull()
@@ -350,29 +354,29 @@
         self.assertGreater(decisions.count(True), 20)
         self.assertGreater(decisions.count(False), 20)
 
-    def test_ordinary_load_and_bursts_are_refused_nowhere(self) -> None:
-        # Three times the slots there are, at once, in both queues together.
+    def test_ordinary_load_and_bursts_are_not_refused(self) -> None:
+        # Both queues together submit three times the number of slots at once.
         for number in range(1, 25):
             body = {"stages": [{"count": 4, "cpu": 1_000, "estimatedMs": 1_000}]}
             self.assertTrue(self.compare(number, body, ROUTES[number % 2]))
 
 
 class SharedRuleTest(unittest.TestCase):
-    def test_shares_are_those_by_which_the_primary_plans(self) -> None:
+    def test_shares_equal_those_used_by_the_primary(self) -> None:
         rng = random.Random(3)
         for _ in range(200):
             cpu, memory, gpu = rng.choice([0, 8_000]), rng.choice([0, 16_384]), rng.choice([0, 4])
             stage = Stage(cpu=rng.randint(0, 9_000), memory_limit_mb=rng.randint(0, 20_000), gpu=rng.randint(0, 5))
-            room = ServiceCapacity(4, 32, Demand(cpu, memory, gpu))
+            capacity = ServiceCapacity(4, 32, Demand(cpu, memory, gpu))
             pool = PoolFigures(32.0, workers=4, cpu=cpu, memory_mb=memory, gpu=gpu)
-            self.assertEqual(share_of(stage, pool), room.share_of(demand_of(stage)))
+            self.assertEqual(share_of(stage, pool), capacity.share_of(demand_of(stage)))
 
-    def test_ingress_loads_nothing_that_is_the_primarys_alone(self) -> None:
+    def test_ingress_does_not_import_modules_of_the_primary(self) -> None:
         program = "import sys, pipitledge.ingress.ingress; print(*sys.modules)"
         ended = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
         loaded = set(ended.stdout.split())
         self.assertIn("pipitledge.scheduling.admission_rule", loaded)
-        self.assertEqual(loaded.intersection(PRIMARYS_OWN), set())
+        self.assertEqual(loaded.intersection(PRIMARY_ONLY_MODULES), set())
 
 
 if __name__ == "__main__":
--- a/tests/system/test_scheduling_queues.py
+++ b/tests/system/test_scheduling_queues.py
@@ -1,4 +1,4 @@
-"""Order of queues, preemption, objectives, retries, and polls."""
+"""Queue order, preemption, deadlines of jobs, retries, and poll intervals of agents."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class QueueOrder(SchedulingCase):
-    """Who goes first."""
+    """The order in which waiting stages are placed."""
 
     def waiting_step(self, order: int, route: str, latest_start: float = 10.0, drain_s: float = 0.0) -> Step:
         submission = Submission(spec="", stages=(Stage(count=1),))
@@ -46,18 +46,18 @@
         return step
 
     def ordered(self, *steps: Step) -> list[int]:
-        """Orders of the jobs in the order in which they are served."""
+        """Return the order numbers of the jobs, as the queue sorts them."""
         queue = WorkQueue(lambda step: 0 if step.job.route == "urgent" else 1)
         for step in steps:
             queue.add(step, 0.0)
         return [step.job.order for step in queue.in_order()]
 
-    def test_priority_goes_before_all_else(self) -> None:
+    def test_higher_priority_goes_first(self) -> None:
         plain = self.waiting_step(1, "plain", latest_start=1.0)
         urgent = self.waiting_step(2, "urgent", latest_start=90.0, drain_s=50.0)
         self.assertEqual([2, 1], self.ordered(plain, urgent))
 
-    def test_the_one_that_must_start_sooner_goes_first(self) -> None:
+    def test_earlier_latest_start_goes_first(self) -> None:
         self.assertEqual([2, 1], self.ordered(self.waiting_step(1, "plain", 12.0), self.waiting_step(2, "plain", 11.0)))
 
     def test_small_jobs_go_before_large_ones(self) -> None:
@@ -65,7 +65,7 @@
         small = self.waiting_step(2, "plain", drain_s=0.1)
         self.assertEqual([2, 1], self.ordered(large, small))
 
-    def test_what_can_only_be_late_goes_last(self) -> None:
+    def test_stages_that_can_only_be_late_go_last(self) -> None:
         queue = WorkQueue(lambda step: 1)
         late, timely = self.waiting_step(1, "plain", 10.0), self.waiting_step(2, "plain", 90.0)
         queue.add(late, 30.0)
@@ -73,11 +73,11 @@
         self.assertEqual([2, 1], [step.job.order for step in queue.in_order()])
 
     def fill(self) -> None:
-        """Let urgent work, which nothing stops, take all workers for a while."""
+        """Fill all workers for a while with urgent runs, which are never preempted."""
         self.submit(THIRD, body(stage(4, cpu=WHOLE_CPU)), 1.5, URGENT)
         self.await_runs(THIRD, 4)
 
-    def test_an_urgent_job_overtakes_in_the_cluster(self) -> None:
+    def test_urgent_job_overtakes_plain_job_on_a_full_cluster(self) -> None:
         self.make()
         self.fill()
         self.submit(JOB, body(stage(4, cpu=WHOLE_CPU)))
@@ -87,14 +87,14 @@
             max(start[0] for start in self.starts_of(OTHER)), min(start[0] for start in self.starts_of(JOB))
         )
 
-    def test_a_small_job_overtakes_a_large_one_with_the_same_latest_start(self) -> None:
+    def test_small_job_overtakes_large_one_with_the_same_latest_start(self) -> None:
         self.make()
         self.fill()
         self.submit(JOB, body(*(stage(4, cpu=WHOLE_CPU) for _ in range(4))))
         self.submit(OTHER, body(stage(4, cpu=WHOLE_CPU)))
         context = self.primary.scheduler.context
         large, small = context.jobs[JOB].steps[0, 0], context.jobs[OTHER].steps[0, 0]
-        self.assertLess(large.latest_start, small.latest_start, "the large one was first")
+        self.assertLess(large.latest_start, small.latest_start, "the large one would go first by its latest start")
         self.assertLess(small.latest_start, large.latest_start + 0.1)
         self.assert_completes(JOB)
         self.assertLess(
@@ -103,14 +103,14 @@
 
 
 class Preempting(SchedulingCase):
-    """Urgent work takes room from others, within bounds."""
+    """Urgent tasks preempt runs of a lower priority, within bounds."""
 
     def fill(self, **rest: Any) -> None:
-        """Let plain work take all workers."""
+        """Fill all workers with runs of plain priority."""
         self.submit(JOB, body(stage(4, cpu=WHOLE_CPU, **rest)), 20.0)
         self.await_runs(JOB, 4)
 
-    def test_an_urgent_task_takes_the_room_of_a_lower_one(self) -> None:
+    def test_urgent_task_preempts_a_plain_run(self) -> None:
         cluster = self.make()
         self.fill(checkpoints=True)
         self.submit(OTHER, body(stage(cpu=WHOLE_CPU)), 1.0, URGENT)
@@ -122,19 +122,19 @@
         self.await_that(lambda: len(cluster.runs_of(JOB)) == 4, 5.0)
         self.assertEqual("running", cluster.ask(JOB))
 
-    def test_room_is_made_in_the_pass_that_finds_none(self) -> None:
+    def test_partial_pass_preempts_for_an_unplaced_urgent_task(self) -> None:
         cluster = self.make()
         self.fill(checkpoints=True)
-        self.submit(OTHER, body(stage(cpu=WHOLE_CPU)))  # what waits has passes made, only some of them full
+        self.submit(OTHER, body(stage(cpu=WHOLE_CPU)))  # a waiting task causes passes, only some of them full
         filling = self.primary.scheduler.context.jobs[JOB]
         for number in range(4):
             cluster.run(0.07)
-            self.submit(job_id(10 + number), body(stage(cpu=WHOLE_CPU)), 20.0, URGENT)  # 0.05 s pass
+            self.submit(job_id(10 + number), body(stage(cpu=WHOLE_CPU)), 20.0, URGENT)  # submit takes 0.05 s
             stopping = [run for step in filling.steps.values() for run in step.runs() if run.stop]
             stopped = self.ends_of(JOB, "stopped")
             self.assertEqual(number + 1, len(stopping) + len(stopped))
 
-    def test_others_wait_for_their_turn(self) -> None:
+    def test_plain_tasks_do_not_preempt(self) -> None:
         cluster = self.make()
         self.fill(checkpoints=True)
         self.submit(OTHER, body(stage(cpu=WHOLE_CPU)))
@@ -142,7 +142,7 @@
         self.assertEqual([], self.ends_of(JOB, "stopped"))
         self.assertEqual("pending", cluster.ask(OTHER))
 
-    def test_urgent_work_is_not_stopped_for_urgent_work(self) -> None:
+    def test_urgent_runs_are_not_preempted(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(4, cpu=WHOLE_CPU, checkpoints=True)), 20.0, URGENT)
         self.await_runs(JOB, 4)
@@ -151,7 +151,7 @@
         self.assertEqual([], self.ends_of(JOB, "stopped"))
         self.assertEqual([], self.starts_of(OTHER))
 
-    def test_much_work_is_not_thrown_away_for_little(self) -> None:
+    def test_no_preemption_when_too_much_work_would_be_lost(self) -> None:
         cluster = self.make()
         self.fill()
         cluster.run(6.0)
@@ -161,22 +161,22 @@
 
 
 class Objective(SchedulingCase):
-    """By when a job has to be done is corrected by what its runs turn out to take."""
+    """The deadline of a job is corrected by the actual durations of its runs."""
 
     STRETCH = PLAIN.stretch
     TARGET_S = PLAIN.target_latency_ms / 1_000.0
 
     def objective_s(self, step: int = 0) -> float:
-        """From its acceptance to the deadline of the job."""
+        """Seconds from the acceptance of the job to its deadline."""
         job = self.primary.scheduler.context.jobs[JOB]
         return job.steps[0, step].deadline - job.accepted_at
 
-    def test_it_begins_with_the_estimates(self) -> None:
+    def test_initial_deadline_follows_the_estimates(self) -> None:
         self.make()
         self.submit(JOB, body(stage(estimatedMs=2_000), stage(dependsOn=[0], estimatedMs=500)), 2.0)
         self.assertAlmostEqual(self.STRETCH * 2.5 + self.TARGET_S, self.objective_s(1), places=3)
 
-    def test_work_that_takes_longer_moves_the_deadline_of_all_steps(self) -> None:
+    def test_longer_runs_postpone_the_deadline_of_all_stages(self) -> None:
         self.make()
         self.submit(JOB, body(stage(2, estimatedMs=1_000), stage(dependsOn=[0], estimatedMs=1_000)), 2.0)
         self.await_runs(f"{JOB}.0.1")
@@ -187,28 +187,28 @@
         step = self.primary.scheduler.context.jobs[JOB].steps[0, 1]
         self.assertAlmostEqual(1.0, step.deadline - step.latest_start, places=3)
 
-    def test_work_that_takes_less_brings_it_forward(self) -> None:
+    def test_shorter_runs_bring_the_deadline_forward(self) -> None:
         self.make()
         self.submit(JOB, body(stage(2, estimatedMs=4_000), stage(dependsOn=[0], estimatedMs=1_000)), 1.0)
         before_s = self.objective_s(1)
         self.await_runs(f"{JOB}.0.1")
         self.assertLess(self.objective_s(1), before_s - self.STRETCH * 2.5)
 
-    def test_a_try_that_failed_by_itself_counts(self) -> None:
+    def test_duration_of_a_failed_run_counts(self) -> None:
         self.make()
         self.submit(JOB, body(stage(), stage(dependsOn=[0])), 1.0, fails=first_runs_fail(1))
         before_s = self.objective_s(1)
         self.await_runs(f"{JOB}.0.1")
         self.assertGreater(self.objective_s(1), before_s + 0.2 * self.STRETCH)
 
-    def test_a_run_that_a_stalled_worker_drags_out_counts_no_more_than_thrice(self) -> None:
+    def test_run_on_a_stalled_worker_counts_at_most_three_times_its_estimate(self) -> None:
         cluster = self.make(workers=1)
         self.submit(JOB, body(stage(estimatedMs=200), stage(dependsOn=[0], estimatedMs=200)), 0.2)
         cluster.workers[0].set_speed(0.02)
         self.await_runs(f"{JOB}.0.1", limit=30.0)
         self.assertLess(self.objective_s(1), self.STRETCH * 0.2 * (MAX_ESTIMATE_OVERRUN + 1.0) + self.TARGET_S + 0.01)
 
-    def test_what_is_left_to_do_shrinks_with_the_job(self) -> None:
+    def test_drain_time_shrinks_as_stages_complete(self) -> None:
         self.make()
         self.submit(JOB, body(stage(4, cpu=4_000), stage(4, cpu=4_000, dependsOn=[0])), 1.0)
         step = self.primary.scheduler.context.jobs[JOB].steps[0, 1]
@@ -218,17 +218,17 @@
 
 
 class Retries(SchedulingCase):
-    """A task that failed is the furthest behind of its step."""
+    """A failed task is retried before the other waiting tasks of its stage."""
 
-    def test_it_goes_before_the_others_of_its_step(self) -> None:
+    def test_failed_task_goes_before_the_others_of_its_stage(self) -> None:
         self.make(workers=2)
         first = f"{JOB}.0.0.0"
         self.submit(JOB, body(stage(8, cpu=WHOLE_CPU)), 1.0, fails=lambda task, run, node: task == first and run == 1)
         self.await_that(lambda: bool(self.ends_of(JOB, "done")), 10.0)
         self.await_that(lambda: len(self.starts_of(first)) == 2, 10.0)
-        self.assertLessEqual(len({start[1] for start in self.starts_of(JOB)}), 5, "others of its step went first")
+        self.assertLessEqual(len({start[1] for start in self.starts_of(JOB)}), 5, "other tasks of its stage went first")
 
-    def test_caution_lasts_no_longer_than_it_must(self) -> None:
+    def test_suspect_workers_are_avoided_only_briefly(self) -> None:
         cluster = self.make(workers=2)
         self.submit(JOB, body(stage(cpu=WHOLE_CPU)), 0.3, fails=first_runs_fail(1))
         failed_on = self.await_runs(JOB)[0][0]
@@ -242,10 +242,10 @@
 
 
 class Polls(SchedulingCase):
-    """How closely agents are to look at their workers."""
+    """The interval at which agents are told to poll their workers."""
 
     def poll_interval_ms(self, node: str) -> int:
-        """What an agent is told, as an answer to a report that brings nothing new."""
+        """Return the poll interval in the answer to a report that contains nothing new."""
         known = self.primary.scheduler.context.workers[node]
         replies: list[Struct] = []
         report = AgentReport(node=node, incarnation=known.incarnation, number=known.report_number)
@@ -254,7 +254,7 @@
         assert isinstance(replies[0], AgentOrders)
         return replies[0].poll_interval_ms
 
-    def test_agents_look_sooner_while_work_waits_for_room(self) -> None:
+    def test_agents_poll_faster_while_tasks_wait_for_resources(self) -> None:
         cluster = self.make(workers=1)
         self.assertEqual(300, self.poll_interval_ms("w0"))
         self.submit(JOB, body(stage(cpu=WHOLE_CPU)), 2.0)
--- a/tests/system/test_scheduling_workers.py
+++ b/tests/system/test_scheduling_workers.py
@@ -1,4 +1,4 @@
-"""Room, lives, health and takeovers of workers, as the scheduler sees them."""
+"""Free resources, instances and health of workers, and takeover by a new primary."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
 )
 
 
-class Room(SchedulingCase):
-    """No worker is ever given more than it has."""
+class Capacity(SchedulingCase):
+    """No worker is ever assigned more than its capacity."""
 
-    def test_a_run_that_is_being_stopped_holds_its_room(self) -> None:
+    def test_run_being_stopped_keeps_its_resources(self) -> None:
         cluster = self.make(workers=1, bounds=msgspec.structs.replace(BOUNDS, stop_ms=2_000.0))
         self.submit(JOB, body(stage(2, cpu=4_000)), ENDLESS_S)
         self.await_runs(JOB, 2)
@@ -52,7 +52,7 @@
         self.assertEqual(2, len(stopped))
         self.assertGreater(self.starts_of(OTHER)[0][0], max(end[0] for end in stopped))
 
-    def test_a_run_that_may_have_started_holds_its_room(self) -> None:
+    def test_run_that_may_have_started_keeps_its_resources(self) -> None:
         for seed in range(5):
             with self.subTest(seed=seed):
                 cluster = self.make(workers=1, seed=seed)
@@ -68,7 +68,7 @@
                 worker.unanswered = 0.0
                 self.assert_completes(OTHER)
 
-    def test_a_full_worker_takes_as_much_as_it_has(self) -> None:
+    def test_workers_are_filled_up_to_their_capacity(self) -> None:
         cluster = self.make(workers=2)
         self.submit(JOB, body(stage(9, cpu=3_000), stage(5, cpu=100, gpu=2)), 1.0)
         cluster.run(0.5)
@@ -79,10 +79,10 @@
         self.assertEqual(14, len(self.starts_of(JOB)))
 
 
-class Lives(SchedulingCase):
-    """Workers and agents that come and go."""
+class WorkerInstances(SchedulingCase):
+    """Workers and agents that crash, restart, become unreachable or drain."""
 
-    def test_a_new_life_ends_the_runs_of_the_old_one(self) -> None:
+    def test_new_worker_instance_ends_the_runs_of_the_old_one(self) -> None:
         cluster = self.make(workers=1)
         self.submit(JOB, body(stage(cpu=WHOLE_CPU)), 2.0)
         self.await_runs(JOB)
@@ -92,13 +92,13 @@
         self.assertEqual([1, 2], [start[2] for start in self.starts_of(JOB)])
         self.assertLess(self.starts_of(JOB)[1][0], crashed + 4.0)
 
-    def test_a_new_life_that_a_new_agent_tells_of_ends_them_too(self) -> None:
+    def test_new_worker_instance_reported_by_a_new_agent_ends_the_old_runs(self) -> None:
         cluster = self.make(workers=1)
         self.submit(JOB, body(stage(cpu=WHOLE_CPU)), 2.0)
         self.await_runs(JOB)
         crashed = cluster.world.time
         machine = cluster.world.machines["w0"]
-        machine.kill()  # nobody is left who knew the old life
+        machine.kill()  # the only process that knew the old instance
         cluster.workers[0].crash(0.4)
 
         def start_agent() -> None:
@@ -109,7 +109,7 @@
         self.assertLess(self.starts_of(JOB)[1][0], crashed + 6.0)
         self.assert_completes(JOB)
 
-    def test_a_silent_workers_runs_start_elsewhere_once_they_have_lapsed(self) -> None:
+    def test_runs_of_a_silent_worker_restart_elsewhere_after_their_leases_expire(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(2, cpu=WHOLE_CPU)), 20.0)
         node, live = self.await_runs(JOB, 2)[0]
@@ -123,11 +123,11 @@
         lapsed = self.ends_of(JOB, "lapsed")
         self.assertEqual([live.task], [end[1] for end in lapsed])
         self.assertGreater(begun, lapsed[0][0])
-        self.assertLess(begun, cut + LAPSE_S - 2.0, "only the primary's own reckoning")
+        self.assertLess(begun, cut + LAPSE_S - 2.0, "only the primary's own timeout ended it")
         self.assert_completes(JOB, 60.0)
         self.assertEqual(3, len(self.starts_of(JOB)))
 
-    def test_a_worker_out_of_touch_lapses_only_after_the_grant(self) -> None:
+    def test_runs_of_an_unreachable_agent_end_only_after_its_lease_grant(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(2, cpu=WHOLE_CPU)), 30.0)
         node, live = self.await_runs(JOB, 2)[0]
@@ -143,7 +143,7 @@
         cluster.run(1.0)
         self.assertEqual([live.task], [end[1] for end in self.ends_of(JOB, "lapsed")])
 
-    def test_a_new_primary_reckons_with_the_whole_grant(self) -> None:
+    def test_new_primary_waits_for_a_full_lease_grant(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(cpu=WHOLE_CPU)), 30.0)
         node, _ = self.await_runs(JOB)[0]
@@ -156,7 +156,7 @@
         self.await_that(lambda: len(self.starts_of(JOB)) == 2, LAPSE_S + 2.0)
         self.assertGreater(self.starts_of(JOB)[1][0], promoted + LAPSE_S)
 
-    def test_a_draining_worker_gets_nothing_new(self) -> None:
+    def test_draining_worker_gets_no_new_tasks(self) -> None:
         cluster = self.make()
         worker = cluster.workers[0]
         self.submit(JOB, body(stage(4, cpu=2_000)), 1.0)
@@ -169,14 +169,14 @@
         self.assertEqual(24, len(self.starts_of(OTHER)))
         self.assertNotIn("start_refused", [event for event, _ in cluster.log.events], "its agent had to refuse")
         self.assertEqual(set(), {start[3] for start in cluster.judge.starts if start[0] > drained} & {worker.node})
-        self.assertEqual(4, len(self.ends_of(JOB, "done")), "what ran there may end there")
+        self.assertEqual(4, len(self.ends_of(JOB, "done")), "runs that had started there may end there")
         self.assert_completes(OTHER)
 
 
 class Takeovers(SchedulingCase):
-    """A new primary goes on from committed state."""
+    """A new primary continues from committed state."""
 
-    def test_nothing_starts_twice_and_everything_goes_on(self) -> None:
+    def test_no_task_starts_twice_and_the_job_completes(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(24, cpu=2_000), stage(2, gang=True, dependsOn=[0])), 1.5)
         self.await_runs(JOB, 16)
@@ -186,7 +186,7 @@
         self.assertEqual(26, len(self.starts_of(JOB)))
         self.assertEqual({1}, {start[2] for start in self.starts_of(JOB)})
 
-    def test_whatever_moment_it_comes_at(self) -> None:
+    def test_takeover_at_any_moment(self) -> None:
         for step in range(12):
             with self.subTest(step=step):
                 cluster = self.make(seed=step)
@@ -197,7 +197,7 @@
                 self.assert_completes(JOB)
                 self.assertEqual(5, len(self.starts_of(JOB)))
 
-    def test_an_assignment_whose_order_never_left_is_ordered(self) -> None:
+    def test_committed_assignment_is_ordered_by_the_new_primary(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage()), 0.5)
         replicator = self.primary.replicator
@@ -212,7 +212,7 @@
         self.assert_completes(OTHER)
         self.assertEqual(1, len(self.starts_of(OTHER)))
 
-    def test_the_old_one_answers_nothing_more(self) -> None:
+    def test_old_primary_rejects_calls(self) -> None:
         cluster = self.make()
         old = self.primary
         cluster.promote()
@@ -223,19 +223,19 @@
 
 
 class WorkersHealth(SchedulingCase):
-    """Bad workers are left alone, ordinary ones are not."""
+    """Workers on which tasks fail are avoided, workers with occasional failures are not."""
 
-    def test_ordinary_failures_do_not_get_a_worker_avoided(self) -> None:
+    def test_occasional_failures_do_not_get_a_worker_avoided(self) -> None:
         health = WorkerHealth()
         for number in range(400):
             now = float(number)
             if number % 10 == 9:
                 self.assertFalse(health.record_failure(f"job {number}", now))
             else:
-                health.record_success(now - 50.0)  # placed before the last failures: it clears nothing
+                health.record_success(now - 50.0)  # placed before the last failures: it does not clear them
             self.assertFalse(health.avoided(now), number)
 
-    def test_some_failures_without_success_do(self) -> None:
+    def test_failures_without_success_get_a_worker_avoided(self) -> None:
         health = WorkerHealth()
         outcomes = [
             health.record_failure(f"job {number}", float(number)) for number in range(FAILURES_BEFORE_AVOIDANCE)
@@ -246,7 +246,7 @@
         self.assertFalse(health.avoided(last + MIN_AVOIDANCE_S))
         self.assertTrue(health.on_trial)
 
-    def test_failures_of_a_job_that_fails_elsewhere_are_pardoned(self) -> None:
+    def test_failures_of_a_job_that_fails_elsewhere_are_discarded(self) -> None:
         health = WorkerHealth()
         for number in range(FAILURES_BEFORE_AVOIDANCE):
             health.record_failure(JOB, float(number))
@@ -254,11 +254,11 @@
         self.assertFalse(health.avoided(float(FAILURES_BEFORE_AVOIDANCE)))
         self.assertFalse(health.suspect)
 
-    def test_a_success_after_the_trial_brings_it_back(self) -> None:
+    def test_success_ends_the_trial(self) -> None:
         health = WorkerHealth()
         for number in range(FAILURES_BEFORE_AVOIDANCE):
             health.record_failure(f"job {number}", 1.0)
-        health.record_success(0.5)  # begun before it turned bad
+        health.record_success(0.5)  # placed before the failures
         self.assertTrue(health.on_trial)
         health.record_success(4.0)
         self.assertFalse(health.on_trial)
@@ -271,7 +271,7 @@
             self.cluster.submit(job, body(stage(cpu=4_000, estimatedMs=500)), PLAIN, Behaviour(0.5))
         return jobs
 
-    def test_a_bad_worker_is_avoided_tried_and_used_again(self) -> None:
+    def test_failing_worker_is_avoided_then_tried_then_used_again(self) -> None:
         cluster = self.make()
         bad = cluster.workers[0]
         bad.fails_all = True
@@ -280,23 +280,23 @@
         avoided = cluster.world.time
         cluster.run(0.1)
         cluster.run(MIN_AVOIDANCE_S - 0.2)
-        at_it = [start for start in cluster.judge.starts if start[3] == bad.node]
-        self.assertEqual([], [start for start in at_it if start[0] > avoided + 0.1])
+        starts_there = [start for start in cluster.judge.starts if start[3] == bad.node]
+        self.assertEqual([], [start for start in starts_there if start[0] > avoided + 0.1])
         self.assertEqual([bad.node], [node for _, node in self.avoidances()])
         bad.fails_all = False
         jobs += self.submit_many(200, 60)
         cluster.run(1.0)
         self.await_that(lambda: len(bad.life.running) == 2, 8.0)
-        tries = [start[0] for start in cluster.judge.starts if start[3] == bad.node and start[0] > avoided + 0.1]
-        self.assertGreater(tries[1], tries[0] + 0.4, "it was tried with one task at a time")
+        trial_starts = [start[0] for start in cluster.judge.starts if start[3] == bad.node and start[0] > avoided + 0.1]
+        self.assertGreater(trial_starts[1], trial_starts[0] + 0.4, "on trial, it got one task at a time")
         for job in jobs:
             self.assert_completes(job, 30.0)
 
     def avoidances(self) -> list[tuple[str, Any]]:
-        """Events that tell of avoided workers."""
+        """Log events of avoided workers, with their nodes."""
         return [(event, fields["peer"]) for event, fields in self.cluster.log.events if event == "worker_avoided"]
 
-    def test_a_tenth_of_failures_everywhere_gets_nobody_avoided(self) -> None:
+    def test_ten_percent_failures_on_all_workers_get_none_avoided(self) -> None:
         self.make()
         for number in range(100):
             fails = first_runs_fail(1 if number % 10 == 3 else 0)
@@ -308,54 +308,54 @@
         self.assertEqual([], self.avoidances())
 
 
-class Reserve(SchedulingCase):
-    """Nothing stands still for long while most of a service is idle, be its workers slow or avoided."""
+class FallbackWorkers(SchedulingCase):
+    """No job waits for long while most of a service is idle, even if the idle workers are slow, avoided or reserved."""
 
-    def fill_first_of(self, workers: int) -> str:
-        """Let one worker be full; its name."""
+    def fill_one_of(self, workers: int) -> str:
+        """Fill one worker and return its node."""
         self.make(workers=workers)
         self.submit(JOB, body(stage(cpu=WHOLE_CPU)), 20.0)
         return self.await_runs(JOB)[0][0]
 
-    def spoil_all_but(self, node: str, spoil: Callable[[WorkerHealth, float], None]) -> None:
-        """Have all other workers left out for a long time."""
+    def make_others_unsuitable(self, node: str, make_unsuitable: Callable[[WorkerHealth, float], None]) -> None:
+        """Make all other workers unsuitable for a long time."""
         context = self.primary.scheduler.context
         for worker in context.workers.values():
             if worker.node != node:
-                spoil(worker.health, context.clock.now())
+                make_unsuitable(worker.health, context.clock.now())
                 context.usability_changed(worker)
 
-    def test_a_job_runs_though_the_only_room_is_on_slow_workers(self) -> None:
+    def test_job_runs_on_slow_workers_if_no_others_are_free(self) -> None:
         def slow(health: WorkerHealth, now: float) -> None:
             for _ in range(10):
                 health.record_speed(0.05, now + 60.0)
 
-        self.spoil_all_but(self.fill_first_of(3), slow)
+        self.make_others_unsuitable(self.fill_one_of(3), slow)
         self.submit(OTHER, body(stage(2, cpu=WHOLE_CPU, gang=True)))
         self.await_runs(OTHER, 2, limit=2.5)
 
-    def test_a_job_runs_though_the_only_room_is_on_avoided_workers(self) -> None:
+    def test_job_runs_on_avoided_workers_if_no_others_are_free(self) -> None:
         def avoid(health: WorkerHealth, now: float) -> None:
             health.avoid_until = now + 60.0
             health.on_trial = True
 
-        self.spoil_all_but(self.fill_first_of(3), avoid)
+        self.make_others_unsuitable(self.fill_one_of(3), avoid)
         self.submit(OTHER, body(stage(cpu=WHOLE_CPU)))
         self.await_runs(OTHER, limit=2.5)
 
-    def test_a_job_runs_though_idle_workers_are_kept_free_for_another(self) -> None:
+    def test_job_runs_on_workers_reserved_for_another_if_no_others_are_free(self) -> None:
         cluster = self.make(workers=3)
         self.submit(JOB, body(stage(cpu=2_000, gpu=1)), 20.0)
         self.submit(OTHER, body(stage(3, cpu=WHOLE_CPU, gang=True)), 5.0, URGENT)
-        cluster.run(1.5)  # the gang keeps all workers free, and one of them is in use for long
-        claimed = [
+        cluster.run(1.5)  # the gang reserves all workers, and one of them stays in use for long
+        reserved = [
             worker for worker in self.primary.scheduler.context.workers.values() if worker.reservation is not None
         ]
-        self.assertEqual(3, len(claimed))
+        self.assertEqual(3, len(reserved))
         self.submit(THIRD, body(stage(cpu=1_000)))
         self.await_runs(THIRD, limit=2.5)
 
-    def test_a_job_does_not_wait_longer_for_room_near_its_data(self) -> None:
+    def test_locality_wait_is_bounded(self) -> None:
         cluster = self.make(workers=4)
         rack = cluster.workers[0].plan.labels[-1]
         near = [worker for worker in cluster.workers if rack in worker.plan.labels]
@@ -365,7 +365,7 @@
         self.submit(OTHER, body(stage(cpu=WHOLE_CPU, affinity=rack)), 60.0)
         self.await_runs(OTHER, limit=2.6)
 
-    def test_a_lasting_task_that_ends_again_and_again_is_soon_tried_again(self) -> None:
+    def test_long_running_task_that_keeps_failing_is_restarted_soon(self) -> None:
         self.make(workers=2)
         self.submit(JOB, body(stage(longRunning=True)), ENDLESS_S)
         for _ in range(8):
@@ -373,7 +373,7 @@
             self.finish(JOB, "failed")
             self.await_that(lambda before=before: len(self.starts_of(JOB)) > before, 2.6)  # type: ignore[misc]
 
-    def test_where_most_is_in_use_avoided_workers_are_left_alone(self) -> None:
+    def test_avoided_workers_are_not_used_while_most_workers_are_busy(self) -> None:
         cluster = self.make(workers=3)
         self.submit(JOB, body(stage(2, cpu=WHOLE_CPU)), 20.0)
         busy = {node for node, _ in self.await_runs(JOB, 2)}
--- a/tests/system/whole_system_mutants.py
+++ b/tests/system/whole_system_mutants.py
@@ -1,4 +1,4 @@
-"""Guards of the system, each taken out by itself: the whole-system days must find every one of them missing."""
+"""Mutants of the system, each without one guard: the simulated days of the whole system must detect every one."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """One guard, and what its absence breaks."""
+    """The removal of one guard, and the rules whose violation detects it."""
 
     name: str
     patches: Callable[[], list[Any]]
     rules: frozenset[str]
-    expected_text: str = ""  # in the text of the breach
+    expected_text: str = ""  # part of the text of the violation
 
     def is_detected_by(self, breach: Breach) -> bool:
-        """Whether a breach is what the missing guard leads to."""
+        """Whether a rule violation is a consequence of the missing guard."""
         return breach.rule in self.rules and self.expected_text in str(breach)
 
 
 def _ends_acknowledged_at_once() -> list[Any]:
-    """An end is acknowledged to the worker before it is in replicated state."""
+    """The end of a run is acknowledged to the worker before it is in replicated state."""
 
     def answer(self: Reports, worker: Worker, report: Any, reply: Any, now: float) -> None:
         worker.acknowledged = worker.last_end_received
@@ -49,7 +49,7 @@
 
 
 def _clients_answered_at_once() -> list[Any]:
-    """A client is told "accepted" before the job is in replicated state."""
+    """A job is acknowledged to its client before it is in replicated state."""
 
     def send(self: ClientCalls, answer: Answer, reply: Reply) -> None:
         reply(answer.reply)
@@ -58,12 +58,12 @@
 
 
 def _no_lapse_wait() -> list[Any]:
-    """What a worker out of reach runs counts as over at once."""
+    """Runs of an unreachable worker count as ended before its task leases have expired."""
     return [mock.patch.object(Figures, "lapse_s", property(lambda self: 2.0))]
 
 
-def _holds_without_end() -> list[Any]:
-    """An agent without a primary lets its worker hold on."""
+def _leases_extended_forever() -> list[Any]:
+    """An agent without a primary extends the task leases of its worker without limit."""
 
     def until(self: Permit) -> float | None:
         return None if self._granted_until is None else self._clock.now() + self._longest_hold
@@ -71,8 +71,8 @@
     return [mock.patch.object(Permit, "until", until)]
 
 
-def _room_not_counted() -> list[Any]:
-    """Runs are not counted against their worker's room."""
+def _resources_not_counted() -> list[Any]:
+    """Runs do not reduce the free resources of their worker."""
     return [
         mock.patch.object(Worker, "allocate", lambda self, demand: None),
         mock.patch.object(Worker, "release", _nothing),
@@ -80,7 +80,7 @@
 
 
 def _drain_ignored() -> list[Any]:
-    """A draining worker is given starts like any other."""
+    """A draining worker gets start orders like any other."""
     begin = Lives._renew
 
     def renew(self: Lives, life: Any, told: Any) -> Any:
@@ -94,7 +94,7 @@
 
 
 def _no_fence_in_agent() -> list[Any]:
-    """An agent obeys every primary, and shows its worker no higher fence."""
+    """An agent obeys orders of any term, and does not pass a newer fencing token to its worker."""
     take = Agent._take_orders
 
     def obey(self: Agent, orders: AgentOrders) -> bool:
@@ -106,18 +106,18 @@
 
 
 def _commit_without_backups() -> list[Any]:
-    """An entry counts as committed once it is on the primary's own disk."""
+    """An entry counts as committed as soon as it is on the primary's own disk."""
     return [mock.patch.object(Primary, "_held_by_all", lambda self: self._own_durable)]
 
 
-def _repeats_unknown() -> list[Any]:
-    """An order of an operator that comes again is not known."""
+def _duplicates_not_recognized() -> list[Any]:
+    """A repeated operator request is not recognized as a duplicate."""
     numbers = itertools.count()
     return [mock.patch.object(keeper, "_digest", lambda call: f"{next(numbers):032x}")]
 
 
-def _refusals_unsure() -> list[Any]:
-    """Two orders on one version are both taken."""
+def _if_match_ignored() -> list[Any]:
+    """Two operator requests based on the same version are both accepted."""
 
     def judge(self: Any, tenure: Any, call: Any) -> Any:
         call.if_match = str(tenure.version)
@@ -127,18 +127,18 @@
     return [mock.patch.object(keeper.ConfigurationKeeper, "_judge", judge)]
 
 
-def _invalid_taken() -> list[Any]:
-    """A refused configuration is acknowledged all the same."""
+def _invalid_accepted() -> list[Any]:
+    """A rejected configuration is acknowledged as accepted."""
     refusal = keeper._refusal
 
-    def lie(status: int, reason: str) -> OperatorReply:
+    def acknowledge(status: int, reason: str) -> OperatorReply:
         return OperatorReply(200, b'{"version":1}') if status == 400 else refusal(status, reason)
 
-    return [mock.patch.object(keeper, "_refusal", lie)]
+    return [mock.patch.object(keeper, "_refusal", acknowledge)]
 
 
-def _order_ignored() -> list[Any]:
-    """Steps do not wait for those that they depend on."""
+def _dependencies_ignored() -> list[Any]:
+    """Stages do not wait for the stages that they depend on."""
 
     def queue(self: Lifecycle, step: Any) -> None:
         if not step.ready and not step.done:
@@ -148,33 +148,33 @@
     return [mock.patch.object(Lifecycle, "queue_if_ready", queue)]
 
 
-def _budget_ignored() -> list[Any]:
-    """Tasks are tried for ever."""
+def _attempts_unlimited() -> list[Any]:
+    """Failed tasks are retried without limit."""
     return [mock.patch.object(Lifecycle, "max_attempts", lambda self, job: 1_000)]
 
 
-def _cancelled_runs_on() -> list[Any]:
-    """What runs of a cancelled job is not stopped."""
+def _cancelled_not_stopped() -> list[Any]:
+    """Runs of a cancelled job are not stopped."""
     return [mock.patch.object(Lifecycle, "stop_runs", _nothing)]
 
 
 def _nothing(self: Any, *arguments: Any) -> None:
-    """Do nothing in place of a guard."""
+    """Replace a guard by doing nothing."""
 
 
 MUTANTS = (
     Mutant("ends acknowledged before commit", _ends_acknowledged_at_once, frozenset({"TWICE", "BUDGET"})),
     Mutant("clients answered before commit", _clients_answered_at_once, frozenset({"LOST"}), "not know it"),
-    Mutant("no lapse wait", _no_lapse_wait, frozenset({"TWICE", "LIMIT"})),
-    Mutant("holds without end", _holds_without_end, frozenset({"TWICE", "LIMIT"})),
-    Mutant("room not counted", _room_not_counted, frozenset({"LIMIT"})),
+    Mutant("no wait for lease expiry", _no_lapse_wait, frozenset({"TWICE", "LIMIT"})),
+    Mutant("task leases extended forever", _leases_extended_forever, frozenset({"TWICE", "LIMIT"})),
+    Mutant("resources not counted", _resources_not_counted, frozenset({"LIMIT"})),
     Mutant("drain ignored", _drain_ignored, frozenset({"DRAIN"})),
     Mutant("no fence check in the agent", _no_fence_in_agent, frozenset({"TWICE", "LIMIT", "LOST", "UNASKED"})),
     Mutant("commit without backups", _commit_without_backups, frozenset({"LOST", "CONFIG", "TWICE"})),
-    Mutant("repeated orders unknown", _repeats_unknown, frozenset({"CONFIG"})),
-    Mutant("If-Match not compared", _refusals_unsure, frozenset({"CONFIG"}), "two changes"),
-    Mutant("invalid configuration acknowledged", _invalid_taken, frozenset({"CONFIG"}), "invalid"),
-    Mutant("dependsOn ignored", _order_ignored, frozenset({"ORDER"})),
-    Mutant("maxAttempts ignored", _budget_ignored, frozenset({"BUDGET"})),
-    Mutant("cancelled jobs run on", _cancelled_runs_on, frozenset({"UNASKED"})),
+    Mutant("repeated requests not recognized", _duplicates_not_recognized, frozenset({"CONFIG"})),
+    Mutant("If-Match not compared", _if_match_ignored, frozenset({"CONFIG"}), "two changes"),
+    Mutant("invalid configuration acknowledged", _invalid_accepted, frozenset({"CONFIG"}), "invalid"),
+    Mutant("dependsOn ignored", _dependencies_ignored, frozenset({"ORDER"})),
+    Mutant("maxAttempts ignored", _attempts_unlimited, frozenset({"BUDGET"})),
+    Mutant("runs of cancelled jobs not stopped", _cancelled_not_stopped, frozenset({"UNASKED"})),
 )
