--- a/pipitledge/scheduling/admission_rule.py
+++ b/pipitledge/scheduling/admission_rule.py
@@ -20,7 +20,7 @@
 MIN_QUEUE_DEPTH = 4.0  # a service admits at least this many times its slots
 MIN_RETRY_AFTER_MS = 200
 MAX_RETRY_AFTER_MS = 1_500
-MIN_CHAIN_S = 1e-3
+MIN_CHAIN_S = 1e-3  # avoids a division by zero
 NO_EXTRA_INFLIGHT: Mapping[str, QueueFigures] = {}
 
 
--- a/pipitledge/scheduling/copies.py
+++ b/pipitledge/scheduling/copies.py
@@ -12,7 +12,7 @@
 from pipitledge.scheduling.workers import Worker
 
 REPORT_OVERDUE_S = 1.3  # the agent of a busy worker reports every second
-MAX_SUPERSEDED_RUNS = 1  # earlier runs of one task that may go on beside its newest run
+MAX_SUPERSEDED_RUNS = 1  # earlier runs of one task that may still exist when it is started again
 
 
 class SpeculativeCopies:
@@ -31,7 +31,7 @@
                 self._start_copies(worker)
 
     def _is_unreachable(self, worker: Worker, now: float) -> bool:
-        """Whether the state of the worker's runs is unknown at present."""
+        """Whether the worker or its agent cannot be reached, and the state of its runs is unknown."""
         reported_at = max(worker.reported_at, self._context.activated_at)
         return worker.silent or worker.unreachable or now - reported_at > REPORT_OVERDUE_S
 
--- a/pipitledge/scheduling/dispatcher.py
+++ b/pipitledge/scheduling/dispatcher.py
@@ -91,7 +91,7 @@
             self._orders.push(worker)
 
     def _send_orders(self, placed: list[Run]) -> None:
-        """Send the orders of newly assigned runs, whose records are committed by now."""
+        """Send the orders of newly assigned runs after the commit of their records."""
         context = self._context
         workers = {context.workers[run.node] for run in placed if run.task.run is run}
         for worker in _by_name(workers | context.unsent):
@@ -108,7 +108,7 @@
         if full:
             queue.reorder(now)
         steps = list(queue.in_order()) if full or freed else queue.sorted(fresh)
-        # By whether all workers were tried, or only those that may have gained free resources.
+        # By whether all usable workers were tried (True) or only those that may have gained free resources (False).
         unplaceable = {True: _UnplaceableRequests(), False: _UnplaceableRequests()}
         gangs_tried = 0
         idle = full and usable.mostly_idle()
--- a/pipitledge/scheduling/placement.py
+++ b/pipitledge/scheduling/placement.py
@@ -228,7 +228,7 @@
 
 
 def _reserved_for_other(request: PlacementRequest, worker: Worker) -> bool:
-    """Whether the worker is reserved for another stage of a higher rank."""
+    """Whether the worker is reserved for another stage that comes earlier in the queue."""
     reservation = worker.reservation
     if reservation is None or reservation.step is request.step or request.now >= reservation.until:
         return False
--- a/pipitledge/scheduling/queue_order.py
+++ b/pipitledge/scheduling/queue_order.py
@@ -17,9 +17,7 @@
 Rank = tuple[int, int, float, int, int, int]  # priority, deadline class, urgency, order of the job, occurrence, stage
 DRAIN_WEIGHT = 8.0  # seconds of delay per second of unfinished work: under overload, small jobs first yields more value
 URGENT_PRIORITY = 0  # the only priority that may preempt others
-GRACE_FRACTION = (
-    0.25  # a stage counts as in time if late by less than this fraction of its remaining work, as estimates are rough
-)
+GRACE_FRACTION = 0.25  # of its remaining work that a stage may be late and still count as in time: estimates are rough
 
 
 class DeadlineClass(enum.IntEnum):
@@ -48,7 +46,7 @@
     def __init__(self, priority_of: Callable[[Step], int]) -> None:
         """`priority_of` returns the priority of a stage; 0 is the highest."""
         self._priority_of = priority_of
-        self._steps: SortedDict = SortedDict()  # step by rank
+        self._steps: SortedDict = SortedDict()  # stages by rank
         self._ranks: dict[Step, Rank] = {}
 
     def __len__(self) -> int:
@@ -77,7 +75,7 @@
             del self._steps[rank]
 
     def rank(self, step: Step) -> Rank | None:
-        """Return the rank of a waiting stage; None if it is not in the queue. The lowest rank goes first."""
+        """Return the rank of a waiting stage; None if it is not in the queue. The smallest rank goes first."""
         return self._ranks.get(step)
 
     def is_urgent(self, step: Step) -> bool:
--- a/pipitledge/scheduling/workers.py
+++ b/pipitledge/scheduling/workers.py
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Reservation:
-    """Reserves a worker for a stage: until it expires, stages of a lower rank are not placed there."""
+    """Reserves a worker for a stage: until it expires, stages that come later in the queue are not placed there."""
 
     step: Step
     rank: Rank
@@ -62,7 +62,7 @@
     heartbeat_at: float = -math.inf
     silent: bool = False  # its agent gets no answers from it
     unreachable: bool = False  # sending orders to its agent has failed since the last report
-    hold_number: int = 0  # of the hold call whose lists of runs were received last
+    hold_number: int = 0  # of the hold call (lease extension by the agent) whose lists of runs were received last
     hold_sent_at: float = -math.inf  # when the agent sent that hold call
     hold_current: bool = False  # that hold call carried the fencing token of this primary
     health: WorkerHealth = field(default_factory=WorkerHealth)
--- a/tests/system/whole_system_mutants.py
+++ b/tests/system/whole_system_mutants.py
@@ -81,10 +81,10 @@
 
 def _drain_ignored() -> list[Any]:
     """A draining worker gets start orders like any other."""
-    begin = Lives._renew
+    original = Lives._renew
 
-    def renew(self: Lives, life: Any, told: Any) -> Any:
-        effect = begin(self, life, told)
+    def renew(self: Lives, life: Any, info: Any) -> Any:
+        effect = original(self, life, info)
         life.draining = False
         if life.info is not None:
             life.info.state = "ready"
@@ -95,12 +95,12 @@
 
 def _no_fence_in_agent() -> list[Any]:
     """An agent obeys orders of any term, and does not pass a newer fencing token to its worker."""
-    take = Agent._take_orders
+    original = Agent._take_orders
 
     def obey(self: Agent, orders: AgentOrders) -> bool:
         if self._term:
             orders.term = self._term
-        return take(self, orders)
+        return original(self, orders)
 
     return [mock.patch.object(Agent, "_take_orders", obey)]
 
