--- a/pipitledge/scheduling/workers.py
+++ b/pipitledge/scheduling/workers.py
@@ -1,4 +1,4 @@
-"""Workers as the primary knows them: their lives, their room, and whether they are in touch."""
+"""The primary's view of the workers: their instances, free resources and reachability."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from pipitledge.scheduling.health import Health
+from pipitledge.scheduling.health import WorkerHealth
 from pipitledge.scheduling.queue_order import Rank
 from pipitledge.scheduling.tasks import Demand, Run, Step
 from pipitledge.wire.messages import AgentReport, WorkerInfo
 
-HEARTBEATS_UNTIL_STALE = 2.5
-REPORT_STALE_S = 2.5  # without a report nothing new is placed
-LIVES_REMEMBERED = 8
-DRAINING = "draining"
-NOTHING = Demand(0, 0, 0)
+HEARTBEATS_UNTIL_STALE = 2.5  # heartbeat intervals without a heartbeat until nothing new is placed
+REPORT_STALE_S = 2.5  # no new tasks are placed on a worker without a report for this long
+MAX_DEAD_INSTANCES = 8  # remembered per worker, to ignore late reports about them
+DRAINING = "draining"  # state of a worker that is about to leave, in its heartbeats
+NO_RESOURCES = Demand(0, 0, 0)
 
 
 @dataclass(slots=True, eq=False, repr=False)
-class Claim:
-    """A worker is kept free for a step; lower-ranked work doesn't start there."""
+class Reservation:
+    """Reserves a worker for a stage: until it expires, stages that come later in the queue are not placed there."""
 
     step: Step
     rank: Rank
@@ -29,46 +29,48 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Worker:
-    """The worker beside one agent."""
+    """The state of one worker, as reported by the agent beside it; times are in seconds of this node's steady clock."""
 
     node: str
-    address: str = ""  # of its agent
-    incarnation: int = 0  # of its agent
-    candidate: int = 0  # another incarnation that has reported once since: a new one, or the late word of an old one
-    candidate_number: int = 0
-    report_number: int = 0
-    instance: str = ""  # the life it is in, as far as known
-    dead_instances: deque[str] = field(default_factory=lambda: deque(maxlen=LIVES_REMEMBERED))
+    address: str = ""  # of the agent
+    incarnation: int = 0  # of the agent process
+    # Another incarnation that has reported once: a newly started agent, or a delayed report of a terminated one.
+    candidate_incarnation: int = 0
+    candidate_report_number: int = 0
+    report_number: int = 0  # of the newest report accepted from the present incarnation
+    instance: str = ""  # the present worker instance as last known; empty if none
+    dead_instances: deque[str] = field(default_factory=lambda: deque(maxlen=MAX_DEAD_INSTANCES))
     service: str = ""
     slots: int = 0
     labels: frozenset[str] = frozenset()
     rack: str = ""
-    capacity: Demand = NOTHING
+    capacity: Demand = NO_RESOURCES
     draining: bool = False
-    leaves_at: float = math.inf
-    cold_until: float = 0.0
+    leaves_at: float = math.inf  # when a draining worker terminates; infinite if not announced
+    cold_until: float = 0.0  # until then it is slower than usual, because it was started recently
     free_cpu: int = 0
     free_memory_mb: int = 0
     free_gpu: int = 0
-    runs: dict[str, Run] = field(default_factory=dict)  # by task; all lives that may still run
-    foreign: dict[tuple[str, int], Demand | None] = field(default_factory=dict)  # shown there and not wanted
-    foreign_stops: dict[tuple[str, int], float] = field(default_factory=dict)  # when they were last told to stop
-    ends_seen: int = 0
-    acknowledged: int = 0
+    runs: dict[str, Run] = field(default_factory=dict)  # by task; of all instances that may still be running
+    # Runs that the worker reports and the primary did not assign, by task and run number; None: request unknown.
+    unexpected_runs: dict[tuple[str, int], Demand | None] = field(default_factory=dict)
+    unexpected_stops_sent_at: dict[tuple[str, int], float] = field(default_factory=dict)  # when a stop was last ordered
+    last_end_received: int = 0  # number of the last ended run received from the present instance
+    acknowledged: int = 0  # number of the last ended run acknowledged: its outcome is committed
     reported_at: float = -math.inf
-    held_until: float = math.inf  # after it everything it runs has lapsed for certain
+    leases_expire_at: float = math.inf  # latest end of its task leases: after it, all of its runs have certainly ended
     heartbeat_at: float = -math.inf
-    silent: bool = False
-    unreachable: bool = False  # orders could not be handed to its agent since its last report
-    hold_number: int = 0
-    hold_at: float = -math.inf  # when the call was sent that its lists answered
-    hold_current: bool = False  # its lists were told under this primary's fence
-    health: Health = field(default_factory=Health)
-    claim: Claim | None = None
+    silent: bool = False  # its agent gets no answers from it
+    unreachable: bool = False  # sending orders to its agent has failed since the last report
+    hold_number: int = 0  # of the hold call (lease extension by the agent) whose lists of runs were received last
+    hold_sent_at: float = -math.inf  # when the agent sent that hold call
+    hold_current: bool = False  # that hold call carried the fencing token of this primary
+    health: WorkerHealth = field(default_factory=WorkerHealth)
+    reservation: Reservation | None = None
     push_failures: int = 0
 
     def usable(self, now: float, heartbeat_s: float) -> bool:
-        """Whether new tasks may be placed there."""
+        """Whether new tasks may be placed on the worker, regardless of free resources."""
         return (
             self.hold_current
             and not self.draining
@@ -79,12 +81,12 @@
             and now - self.heartbeat_at < HEARTBEATS_UNTIL_STALE * heartbeat_s
         )
 
-    def newer(self, report: AgentReport) -> bool:
-        """Whether a report is newer than all others so far; takes note of it if so."""
+    def accept_report(self, report: AgentReport) -> bool:
+        """Whether a report is newer than all earlier ones; if so, record its number and incarnation."""
         if report.incarnation == self.incarnation or not self.incarnation:
             if report.number <= self.report_number:
                 return False
-            self.candidate = 0
+            self.candidate_incarnation = 0
         elif not self._confirms_candidate(report):
             return False
         self.incarnation = report.incarnation
@@ -92,43 +94,43 @@
         return True
 
     def _confirms_candidate(self, report: AgentReport) -> bool:
-        """Whether another incarnation reports again before the present one does: then it has taken over.
+        """Whether another incarnation has now reported twice in a row, so that it replaces the present one.
 
-        A report of a process that is gone may come late, but no other one after it.
+        A single report may be a delayed one of a terminated process.
         """
-        if self.candidate != report.incarnation or report.number <= self.candidate_number:
-            self.candidate = report.incarnation
-            self.candidate_number = report.number
+        if self.candidate_incarnation != report.incarnation or report.number <= self.candidate_report_number:
+            self.candidate_incarnation = report.incarnation
+            self.candidate_report_number = report.number
             return False
-        self.candidate = 0
+        self.candidate_incarnation = 0
         self.hold_number = 0
         self.hold_current = False
         return True
 
-    def begin_life(self, instance: str) -> None:
-        """Its worker has started anew."""
+    def begin_instance(self, instance: str) -> None:
+        """Reset the state for a new worker instance; an empty name means that none is known."""
         self.instance = instance
-        self.ends_seen = 0
+        self.last_end_received = 0
         self.acknowledged = 0
         self.hold_number = 0
         self.hold_current = False
-        self.foreign.clear()
-        self.foreign_stops.clear()
-        self.health = Health()
-        self.claim = None
+        self.unexpected_runs.clear()
+        self.unexpected_stops_sent_at.clear()
+        self.health = WorkerHealth()
+        self.reservation = None
         self.draining = False
         self.leaves_at = math.inf
-        self.recount()
+        self.recompute_free()
 
-    def end_life(self, instance: str) -> None:
-        """A life is over for certain."""
+    def end_instance(self, instance: str) -> None:
+        """Record that a worker instance is confirmed dead."""
         if instance and instance not in self.dead_instances:
             self.dead_instances.append(instance)
         if instance == self.instance:
-            self.begin_life("")
+            self.begin_instance("")
 
-    def describe(self, info: WorkerInfo, now: float, age_s: float) -> None:
-        """Take over what its newest heartbeat tells."""
+    def update_from_heartbeat(self, info: WorkerInfo, now: float, age_s: float) -> None:
+        """Update the worker from its newest heartbeat, which was `age_s` old at `now`."""
         capacity = Demand(info.cpu, info.memory_mb, info.gpu)
         self.service = info.service
         self.slots = info.slots
@@ -137,75 +139,79 @@
             self.rack = rack_of(info.labels)
         self.heartbeat_at = max(self.heartbeat_at, now - age_s)
         self.draining = info.state == DRAINING
-        told = self.draining and info.remaining_ms >= 0
-        self.leaves_at = now - age_s + info.remaining_ms / 1_000.0 if told else math.inf
+        announced = self.draining and info.remaining_ms >= 0
+        self.leaves_at = now - age_s + info.remaining_ms / 1_000.0 if announced else math.inf
         self.cold_until = now - age_s + info.cold_remaining_ms / 1_000.0
         if capacity != self.capacity:
             self.capacity = capacity
-            self.recount()
+            self.recompute_free()
 
     def add(self, run: Run, demand: Demand) -> None:
-        """A run takes room."""
+        """Add a run and allocate its resources, if it belongs to the present instance."""
         self.runs[run.task.name] = run
         if run.instance != self.instance:
             return
-        self.take(demand)
-        if self.health.on_trial and not run.task.step.stage.long_running:  # such a trial would never end
+        self.allocate(demand)
+        if (
+            self.health.on_trial and not run.task.step.stage.long_running
+        ):  # a trial with a long-running task would never end
             self.health.trial_task = run.task.name
             self.health.trial_at = run.placed_at
 
-    def take(self, demand: Demand) -> None:
-        """Use some of its room."""
+    def allocate(self, demand: Demand) -> None:
+        """Subtract a resource request from the free resources."""
         self.free_cpu -= demand.cpu
         self.free_memory_mb -= demand.memory_mb
         self.free_gpu -= demand.gpu
 
-    def give(self, demand: Demand) -> None:
-        """Give room back."""
+    def release(self, demand: Demand) -> None:
+        """Add a resource request back to the free resources."""
         self.free_cpu += demand.cpu
         self.free_memory_mb += demand.memory_mb
         self.free_gpu += demand.gpu
 
     def remove(self, run: Run, demand: Demand) -> bool:
-        """A run's room is free again; False if it held none."""
+        """Remove a run and release its resources; returns False if the run is not on the worker."""
         if self.runs.get(run.task.name) is not run:
             return False
         del self.runs[run.task.name]
         if self.health.trial_task == run.task.name:
             self.health.trial_task = ""
         if run.instance == self.instance:
-            self.give(demand)
+            self.release(demand)
         return True
 
-    def show_foreign(self, foreign: dict[tuple[str, int], Demand | None]) -> bool:
-        """Take note of unwanted runs that its list shows; whether anything changed."""
-        if foreign == self.foreign:
+    def update_unexpected_runs(self, unexpected_runs: dict[tuple[str, int], Demand | None]) -> bool:
+        """Replace the unexpected runs by those that the worker reports now; returns whether they changed."""
+        if unexpected_runs == self.unexpected_runs:
             return False
-        self.foreign = foreign
-        self.foreign_stops = {key: self.foreign_stops[key] for key in foreign if key in self.foreign_stops}
-        self.recount()
+        self.unexpected_runs = unexpected_runs
+        self.unexpected_stops_sent_at = {
+            key: self.unexpected_stops_sent_at[key] for key in unexpected_runs if key in self.unexpected_stops_sent_at
+        }
+        self.recompute_free()
         return True
 
-    def recount(self) -> None:
-        """Reckon its room from nothing."""
+    def recompute_free(self) -> None:
+        """Compute the free resources from the capacity and all runs."""
         used = [run.task.step.demand for run in self.runs.values() if run.instance == self.instance]
-        for demand in self.foreign.values():
-            used.append(self.capacity if demand is None else demand)  # of unknown size: it may be full
+        for demand in self.unexpected_runs.values():
+            used.append(self.capacity if demand is None else demand)  # a run of unknown size may use all of the worker
         self.free_cpu = self.capacity.cpu - sum(demand.cpu for demand in used)
         self.free_memory_mb = self.capacity.memory_mb - sum(demand.memory_mb for demand in used)
         self.free_gpu = self.capacity.gpu - sum(demand.gpu for demand in used)
 
     def fits(self, demand: Demand) -> bool:
-        """Whether it has room for one more such task."""
+        """Whether the free resources suffice for one more such task."""
         return self.free_cpu >= demand.cpu and self.free_memory_mb >= demand.memory_mb and self.free_gpu >= demand.gpu
 
-    def could_fit(self, demand: Demand) -> bool:
-        """Whether it would have room if it were empty."""
+    def fits_when_empty(self, demand: Demand) -> bool:
+        """Whether the capacity would suffice for such a task if the worker were empty."""
         capacity = self.capacity
         return capacity.cpu >= demand.cpu and capacity.memory_mb >= demand.memory_mb and capacity.gpu >= demand.gpu
 
     def free_share_after(self, demand: Demand) -> float:
-        """The scarcest free share of its capacity once such a task is placed."""
+        """Return the free share of the scarcest resource after placing such a task."""
         capacity = self.capacity
         share = 1.0
         if capacity.cpu:
@@ -218,41 +224,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceRoom:
-    """What the workers of one service have in all, in use or free."""
+class ServiceCapacity:
+    """The total capacity of the workers of one service, used or free."""
 
     workers: int = 0
     slots: int = 0
-    capacity: Demand = NOTHING  # of a mean worker
+    mean_worker: Demand = NO_RESOURCES  # average capacity per worker
 
     def share_of(self, demand: Demand) -> float:
-        """The largest share of a mean worker that such a task takes."""
-        capacity = self.capacity
+        """Return the share of the mean worker that such a task takes, of its scarcest resource."""
+        mean = self.mean_worker
         share = 0.0
-        if capacity.cpu:
-            share = demand.cpu / capacity.cpu
-        if capacity.memory_mb:
-            share = max(share, demand.memory_mb / capacity.memory_mb)
-        if capacity.gpu:
-            share = max(share, demand.gpu / capacity.gpu)
+        if mean.cpu:
+            share = demand.cpu / mean.cpu
+        if mean.memory_mb:
+            share = max(share, demand.memory_mb / mean.memory_mb)
+        if mean.gpu:
+            share = max(share, demand.gpu / mean.gpu)
         return share
 
 
-def room_of(workers: list[Worker]) -> ServiceRoom:
-    """What some workers have in all."""
+def total_capacity(workers: list[Worker]) -> ServiceCapacity:
+    """Return the total capacity of some workers of one service."""
     count = len(workers)
     if not count:
-        return ServiceRoom()
+        return ServiceCapacity()
     mean = Demand(
         sum(worker.capacity.cpu for worker in workers) // count,
         sum(worker.capacity.memory_mb for worker in workers) // count,
         sum(worker.capacity.gpu for worker in workers) // count,
     )
-    return ServiceRoom(count, sum(worker.slots for worker in workers), mean)
+    return ServiceCapacity(count, sum(worker.slots for worker in workers), mean)
 
 
 def rack_of(labels: list[str]) -> str:
-    """The label that names the rack: the one with a number in it, such as `r1-3`."""
+    """Return the label that names the rack: the last one that contains a digit, such as `r1-3`, else the last one."""
     numbered = [label for label in labels if any(character.isdecimal() for character in label)]
     if numbered:
         return numbered[-1]
--- a/tests/system/start_judge.py
+++ b/tests/system/start_judge.py
@@ -1,4 +1,4 @@
-"""Sees every start and end on the workers of the scheduler's tests, and writes down each rule that is broken."""
+"""Checks the scheduling rules at every start and end of a run in the scheduler's tests, and records violations."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 if TYPE_CHECKING:
     from tests.system.scheduling_cluster import Cluster
 
-WORK_SPREAD = 0.02  # part of a task's work by which it may be longer or shorter
-NOTED_S = 1.0  # a machine in touch starts no copy later than that after an end `done` was noted
+WORK_SPREAD = 0.02  # actual work differs from the nominal work by at most this fraction
+COPY_GRACE_S = 1.0  # a reachable worker starts no copy later than this after a success was acknowledged
 
 
 class Judge:
-    """Sees every start and end, and writes down what breaks a rule."""
+    """Observes every start and end of a run, and records each violation of a scheduling rule."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
-        self.broken: list[str] = []
-        self.noted_done: dict[str, float] = {}  # tasks whose end `done` was taken note of, and when
-        self.noted_failures: dict[str, set[tuple[str, int]]] = {}
+        self.violations: list[str] = []
+        self.acknowledged_done: dict[str, float] = {}  # tasks whose success was acknowledged to the worker, and when
+        self.acknowledged_failures: dict[str, set[tuple[str, int]]] = {}  # by task or gang: failed runs
         self.ended_done: set[str] = set()
         self.ends: list[tuple[float, str, int, str, str]] = []  # time, task, run, how, node
         self.starts: list[tuple[float, str, int, str, str]] = []  # time, task, run, node, saved
-        self.texts: dict[str, set[str]] = {}  # checkpoints by task (of a gang: by step)
+        self.checkpoints: dict[str, set[str]] = {}  # by task; those of a gang by its stage
 
-    def owner(self, task: str) -> str:
-        """Whose checkpoints a task may be started from."""
+    def checkpoint_owner(self, task: str) -> str:
+        """The name under which checkpoints and failures of a task count: its own, or that of its gang's stage."""
         return task.rsplit(".", 1)[0] if self.cluster.stage(task)["gang"] else task
 
     def started(self, worker: ModelWorker, live: LiveRun, spec: str) -> None:
-        """A worker began a run."""
+        """A worker started a run: check it against all rules."""
         cluster = self.cluster
         now = cluster.world.time
         task = live.task
@@ -40,56 +40,60 @@
         job = task.split(".")[0]
         submitted = cluster.bodies.get(job)
         if submitted is None or submitted["spec"] != spec:
-            self.note(f"UNASKED {task}: spec")
+            self.report_violation(f"UNASKED {task}: spec")
             return
-        if live.saved and live.saved not in self.texts.get(self.owner(task), set()):
-            self.note(f"UNASKED {task}: checkpoint {live.saved}")
-        timely = cluster.in_touch(worker.node) and not worker.taking_late
-        if timely and cluster.cancelled.get(job, now) < now - cluster.bounds.cancel_ms / 1_000.0:
-            self.note(f"UNASKED {task}: started {now - cluster.cancelled[job]:.2f} s after its cancelling")
+        if live.saved and live.saved not in self.checkpoints.get(self.checkpoint_owner(task), set()):
+            self.report_violation(f"UNASKED {task}: checkpoint {live.saved}")
+        prompt = cluster.in_touch(worker.node) and not worker.taking_late
+        if prompt and cluster.cancelled.get(job, now) < now - cluster.bounds.cancel_ms / 1_000.0:
+            self.report_violation(
+                f"UNASKED {task}: started {now - cluster.cancelled[job]:.2f} s after its cancellation"
+            )
         speculative = cluster.stage(task)["speculative"]
         elsewhere = any(task in other.life.running and other is not worker for other in cluster.live_workers())
         if elsewhere and not speculative:
-            self.note(f"TWICE {task}: runs elsewhere")
-        late = timely and now > self.noted_done.get(task, now) + NOTED_S
-        if task in self.noted_done and (late or not speculative):
-            self.note(f"TWICE {task}: was done")
-        failures = 0 if cluster.stage(task)["longRunning"] else len(self.noted_failures.get(task, ()))
+            self.report_violation(f"TWICE {task}: runs elsewhere")
+        late = prompt and now > self.acknowledged_done.get(task, now) + COPY_GRACE_S
+        if task in self.acknowledged_done and (late or not speculative):
+            self.report_violation(f"TWICE {task}: was done")
+        failures = 0 if cluster.stage(task)["longRunning"] else len(self.acknowledged_failures.get(task, ()))
         if failures >= cluster.route_of[job].max_attempts:
-            self.note(f"BUDGET {task}")
+            self.report_violation(f"BUDGET {task}")
         self._check_order(task)
-        self._check_place(worker, task)
+        self._check_placement(worker, task)
 
     def _check_order(self, task: str) -> None:
+        """A task starts after all tasks that it depends on, and not before its occurrence is due."""
         job, time, step, _ = task.split(".")
         body = self.cluster.bodies[job]
         for earlier in body["stages"][int(step)].get("dependsOn", []):
             for index in range(body["stages"][earlier]["count"]):
                 if f"{job}.{time}.{earlier}.{index}" not in self.ended_done:
-                    self.note(f"ORDER {task}: before {earlier}.{index}")
+                    self.report_violation(f"ORDER {task}: before {earlier}.{index}")
         if body.get("repeatCount"):
             due_ms = body["startAtMs"] + int(time) * body["intervalMs"]
             if self.cluster.wall_ms() < due_ms - self.cluster.bounds.early_ms:
-                self.note(f"ORDER {task}: early")
+                self.report_violation(f"ORDER {task}: early")
 
-    def _check_place(self, worker: ModelWorker, task: str) -> None:
+    def _check_placement(self, worker: ModelWorker, task: str) -> None:
+        """A task starts only where capacity, node selector, anti-affinity and the drain state allow it."""
         stage = self.cluster.stage(task)
         for name, capacity in worker.plan.capacity.items():
             used = sum(self.cluster.stage(other)[name] for other in worker.life.running)
             if used > capacity:
-                self.note(f"LIMIT {worker.node}: {name} {used} of {capacity} with {task}")
+                self.report_violation(f"LIMIT {worker.node}: {name} {used} of {capacity} with {task}")
         if stage["nodeSelector"] and stage["nodeSelector"] not in worker.plan.labels:
-            self.note(f"ROUTE {task}: label")
+            self.report_violation(f"ROUTE {task}: label")
         family = task.rsplit(".", 1)[0]
-        alike = sum(other.rsplit(".", 1)[0] == family for other in worker.life.running)
-        if stage["antiAffinity"] and alike > stage["antiAffinity"]:
-            self.note(f"ROUTE {task}: {alike} on one worker")
+        same_stage = sum(other.rsplit(".", 1)[0] == family for other in worker.life.running)
+        if stage["antiAffinity"] and same_stage > stage["antiAffinity"]:
+            self.report_violation(f"ROUTE {task}: {same_stage} on one worker")
         acknowledged = worker.life.drain_acknowledged
         late = (
             acknowledged is not None and self.cluster.world.time > acknowledged + self.cluster.bounds.drain_ms / 1_000.0
         )
         if late and self.cluster.in_touch(worker.node) and not worker.taking_late:
-            self.note(f"DRAIN {task}")
+            self.report_violation(f"DRAIN {task}")
 
     def ended(self, worker: ModelWorker, live: LiveRun, how: str) -> None:
         """A run ended on a worker that is up."""
@@ -101,37 +105,37 @@
 
     def saved(self, task: str, text: str) -> None:
         """A checkpoint was made."""
-        self.texts.setdefault(self.owner(task), set()).add(text)
+        self.checkpoints.setdefault(self.checkpoint_owner(task), set()).add(text)
 
     def stage(self, task: str) -> dict[str, Any]:
-        """The step of a task."""
+        """The stage of a task, with defaults filled in."""
         return self.cluster.stage(task)
 
     def work(self, task: str, run: int) -> Work:
-        """What a run is like, where it runs; no two tasks take exactly as long as each other."""
+        """Duration and outcome of a run; durations vary a little, so that no two tasks take exactly the same time."""
         behaviour = self.cluster.behaviour(task)
         seconds = behaviour.work_s * Random(task).uniform(1.0 - WORK_SPREAD, 1.0 + WORK_SPREAD)
         return Work(seconds, behaviour.fails(task, run, self.cluster.node_of_run(task, run)))
 
     def noted(self, worker: ModelWorker, end: RunEnd) -> None:
-        """`lastSeen` reached an end before which the hold had not run out."""
+        """A worker's list of ended runs was acknowledged up to this end, and its task leases had not expired before."""
         task, run = end.task, end.run
         if end.how == "done":
             started_since = any(name == task and at > end.at for at, name, *_ in self.starts)
             if started_since and not self.cluster.stage(task)["speculative"]:
-                self.note(f"TWICE {task}: started after its end, which was noted later")
+                self.report_violation(f"TWICE {task}: started after its end, which was acknowledged later")
             now = self.cluster.world.time
-            self.noted_done.setdefault(task, now)
+            self.acknowledged_done.setdefault(task, now)
             if self.cluster.stage(task)["gang"]:
                 family = task.rsplit(".", 1)[0]
                 count = self.cluster.stage(task)["count"]
                 for index in range(count):
-                    self.noted_done.setdefault(f"{family}.{index}", now)
+                    self.acknowledged_done.setdefault(f"{family}.{index}", now)
         elif end.how == "failed":
-            self.noted_failures.setdefault(self.owner(task), set()).add((task, run))
-            runs = {run for _, run in self.noted_failures[self.owner(task)]}
-            self.noted_failures[task] = {(task, number) for number in runs}
+            self.acknowledged_failures.setdefault(self.checkpoint_owner(task), set()).add((task, run))
+            runs = {run for _, run in self.acknowledged_failures[self.checkpoint_owner(task)]}
+            self.acknowledged_failures[task] = {(task, number) for number in runs}
 
-    def note(self, text: str) -> None:
-        """A rule is broken."""
-        self.broken.append(f"{self.cluster.world.time:.3f} {text}")
+    def report_violation(self, text: str) -> None:
+        """Record the violation of a rule."""
+        self.violations.append(f"{self.cluster.world.time:.3f} {text}")
