--- a/pipitledge/emulator/cluster/site.py
+++ b/pipitledge/emulator/cluster/site.py
@@ -26,7 +26,7 @@
 from pipitledge.replication.quorum import Tolerance
 from pipitledge.replication.replica import Replica
 from pipitledge.runtime.logs import EventLog
-from pipitledge.scheduling.context import Figures, Node, Ports
+from pipitledge.scheduling.context import NodeIdentity, Ports, SchedulerTimings
 from pipitledge.scheduling.scheduler import Scheduler
 from pipitledge.wire.messages import NodeDescriptor
 
@@ -231,12 +231,12 @@
         )
         keeper = ConfigurationKeeper(replica, log)
         ports = Ports(process.clock, detours, replica, keeper.current, process.clock.wall_ms, log)
-        figures = Figures(self.deployment.bounds, HEARTBEAT_MS / 1_000.0)
+        timings = SchedulerTimings(self.deployment.bounds, HEARTBEAT_MS / 1_000.0)
 
         def agents() -> list[str]:
             return [node.address for node in membership.nodes() if node.machine_class == AGENTS_CLASS]
 
-        scheduler = Scheduler(ports, figures, Node(machine.name, machine.address), agents)
+        scheduler = Scheduler(ports, timings, NodeIdentity(machine.name, machine.address), agents)
         keeper.publish_usage(scheduler.usage)
         services += [keeper, scheduler]
         for plane in (replica, keeper, scheduler):
--- a/pipitledge/programs/control.py
+++ b/pipitledge/programs/control.py
@@ -18,7 +18,7 @@
 from pipitledge.runtime.logs import EventLog
 from pipitledge.runtime.ports import Disk
 from pipitledge.runtime.storage import Recovered, Store
-from pipitledge.scheduling.context import Figures, Node, Ports
+from pipitledge.scheduling.context import NodeIdentity, Ports, SchedulerTimings
 from pipitledge.scheduling.scheduler import Scheduler
 from pipitledge.wire.messages import View
 
@@ -107,8 +107,8 @@
     )
     keeper = ConfigurationKeeper(replica, logs.get("keeper"))
     ports = Ports(core.host, core.detours, replica, keeper.current, core.host.wall_ms, logs.get("scheduler"))
-    figures = Figures(settings.bounds, settings.heartbeat_ms / MS_PER_SECOND)
-    scheduler = Scheduler(ports, figures, Node(settings.name, core.transport.address), lambda: _agents(core))
+    timings = SchedulerTimings(settings.bounds, settings.heartbeat_ms / MS_PER_SECOND)
+    scheduler = Scheduler(ports, timings, NodeIdentity(settings.name, core.transport.address), lambda: _agents(core))
     keeper.publish_usage(scheduler.usage)
     services += [keeper, scheduler]  # the scheduler reads the configuration that the keeper has taken over
     for plane in (replica, keeper, scheduler):
--- a/pipitledge/programs/node_status.py
+++ b/pipitledge/programs/node_status.py
@@ -61,12 +61,12 @@
     """How many jobs there are in each state, and the open ones, the oldest first."""
     if not context.active:
         return _not_leading(membership)
-    counts = Counter(state.name.lower() for state in context.ended.values())
+    counts = Counter(state.name.lower() for state in context.ended_jobs.values())
     still_open = sorted((job for job in context.jobs.values() if job.open), key=lambda job: job.order)
-    ended: Section = {state: counts[state] for state in ("completed", "failed", "cancelled")}
+    ended_jobs: Section = {state: counts[state] for state in ("completed", "failed", "cancelled")}
     now = context.clock.now()
     rows = [_job_row(job, now) for job in still_open[:LONGEST_LIST]]
-    return {"leads": True, "open": len(still_open), **ended, "jobs": rows}
+    return {"leads": True, "open": len(still_open), **ended_jobs, "jobs": rows}
 
 
 def _configuration(configuration: Configuration | None) -> Section:
@@ -128,7 +128,7 @@
         return "draining"
     if worker.silent:
         return "silent"
-    if not worker.usable(now, context.figures.heartbeat_s):
+    if not worker.usable(now, context.timings.heartbeat_s):
         return "out of touch"
     return "avoided" if worker.health.avoided(now) else "usable"
 
@@ -146,7 +146,7 @@
 
 def _waiting_tasks(job: Job) -> int:
     """Tasks that could run now and wait for room."""
-    return sum(len(step.waiting) for step in job.steps.values())
+    return sum(len(task_group.waiting) for task_group in job.task_groups.values())
 
 
 def _runs(job: Job) -> int:
--- a/pipitledge/scheduling/admission.py
+++ b/pipitledge/scheduling/admission.py
@@ -33,24 +33,24 @@
 
     def decide(self, route: Route, submission: Submission) -> Verdict:
         """Whether a job of that queue is taken in now."""
-        room = self._context.room(route.service)
+        service_capacity = self._context.service_capacity(route.service)
         self._weigh_old_jobs()
-        if self._unknown(room):
+        if self._unknown(service_capacity):
             return Verdict(True, self.weigh(route.service, submission))
-        return decide(self._pool(route.service, room), route, submission)
+        return decide(self._pool(route.service, service_capacity), route, submission)
 
     def weigh(self, service: str, submission: Submission) -> float:
         """The slots that a job counts for; 0 while no worker is known."""
-        return job_weight(submission, self._pool(service, self._context.room(service)))
+        return job_weight(submission, self._pool(service, self._context.service_capacity(service)))
 
     def usage(self) -> QueueUsageReport:
         """What all queues use and may use; pools whose workers aren't known yet are left out."""
         self._weigh_old_jobs()
         pools = dict[str, PoolFigures]()
         for service in self._queues().by_service:
-            room = self._context.room(service)
-            if not self._unknown(room):
-                pools[service] = self._pool(service, room)
+            service_capacity = self._context.service_capacity(service)
+            if not self._unknown(service_capacity):
+                pools[service] = self._pool(service, service_capacity)
         return QueueUsageReport(pools, self._context.next_order)
 
     def _weigh_old_jobs(self) -> None:
@@ -66,11 +66,11 @@
             else:
                 context.unweighed.append(job)
 
-    def _unknown(self, room: ServiceRoom) -> bool:
+    def _unknown(self, service_capacity: ServiceRoom) -> bool:
         """Whether it isn't known yet what workers there are."""
         context = self._context
         active_s = context.clock.now() - context.activated_at
-        return active_s < SETTLING_S or (not room.slots and active_s < context.figures.lapse_s)
+        return active_s < SETTLING_S or (not service_capacity.slots and active_s < context.timings.lease_expiry_s)
 
     def _queues(self) -> ServiceQueues:
         """The queues by the service whose workers they share; counted once for each configuration."""
@@ -80,7 +80,7 @@
             self._counted = ServiceQueues(configuration)
         return self._counted
 
-    def _pool(self, service: str, room: ServiceRoom) -> PoolFigures:
+    def _pool(self, service: str, service_capacity: ServiceRoom) -> PoolFigures:
         """What the queues of a service use and may use, and what there is."""
         queues = self._queues()
         idle = Counter(queues.by_service.get(service, NO_QUEUES))
@@ -93,15 +93,15 @@
                 busy[name] = QueueFigures(slots, route.priority)
                 idle[route.priority] -= 1
         return PoolFigures(
-            capacity=float(room.slots),
-            queue_limit=round(LIMIT_PART * room.slots, SLOT_DIGITS),
-            queue_reservation=RESERVED_PART * room.slots / max(1, count),
+            capacity=float(service_capacity.slots),
+            queue_limit=round(LIMIT_PART * service_capacity.slots, SLOT_DIGITS),
+            queue_reservation=RESERVED_PART * service_capacity.slots / max(1, count),
             busy=busy,
             idle=dict(idle),
-            workers=room.workers,
-            cpu=room.capacity.cpu,
-            memory_mb=room.capacity.memory_mb,
-            gpu=room.capacity.gpu,
+            workers=service_capacity.workers,
+            cpu=service_capacity.capacity.cpu,
+            memory_mb=service_capacity.capacity.memory_mb,
+            gpu=service_capacity.capacity.gpu,
             late_factor=LATE_FACTOR,
         )
 
--- a/pipitledge/scheduling/admission_rule.py
+++ b/pipitledge/scheduling/admission_rule.py
@@ -15,7 +15,7 @@
 from pipitledge.configuration.datasets import PoolFigures, QueueFigures
 from pipitledge.configuration.model import Route
 from pipitledge.decision.admission import admit
-from pipitledge.scheduling.job import Stage, Submission, estimated_lengths_s, remaining_chains_s, waves_of
+from pipitledge.scheduling.job import Stage, Submission, critical_paths_s, estimated_durations_s, wave_count
 
 LEAST_DEPTH = 4.0  # times its slots that a service takes in at least
 SHORTEST_RETRY_MS = 200
@@ -42,8 +42,8 @@
     own = pool.busy.get(route.name)
     if own is None or own.inflight <= 0.0:
         return Verdict(True, weight)  # an idle queue's job is taken whatever its size
-    lengths = estimated_lengths_s(submission.stages, _waves(submission, pool))
-    chain_s = max(remaining_chains_s(submission.stages, lengths))
+    lengths = estimated_durations_s(submission.stages, _waves(submission, pool))
+    chain_s = max(critical_paths_s(submission.stages, lengths))
     turns = depth(route, chain_s, pool.late_factor)
     capacity = pool.capacity * turns
     usages = pool.usages(max(route.priority, own.priority), turns)
@@ -81,4 +81,4 @@
 
 def _waves(submission: Submission, pool: PoolFigures) -> tuple[float, ...]:
     """In how many waves each step runs, by the workers there are."""
-    return tuple(waves_of(stage, share_of(stage, pool), pool.workers) for stage in submission.stages)
+    return tuple(wave_count(stage, share_of(stage, pool), pool.workers) for stage in submission.stages)
--- a/pipitledge/scheduling/calls.py
+++ b/pipitledge/scheduling/calls.py
@@ -17,18 +17,18 @@
 from pipitledge.wire.messages import CallKind, ClientCall, ClientReply, JobState, NotPrimary
 
 UNCONFIGURED_RETRY_MS = 500
-_STATE_WORDS = {JobState.COMPLETED: "completed", JobState.FAILED: "failed", JobState.CANCELLED: "cancelled"}
+_STATE_NAMES = {JobState.COMPLETED: "completed", JobState.FAILED: "failed", JobState.CANCELLED: "cancelled"}
 
 
 class Answer(Struct, frozen=True):
     """An answer made from the state of this moment."""
 
     reply: ClientReply
-    rests_on_state: bool = True  # it leaves once all changes up to now are committed
-    holds_for_good: bool = False  # once committed it is true whoever is primary by then
+    waits_for_commit: bool = True  # it leaves once all changes up to now are committed
+    valid_on_any_primary: bool = False  # once committed it is true whoever is primary by then
 
 
-class ClientCalls:
+class ClientCallHandler:
     """Answers clients' calls."""
 
     def __init__(self, context: Context, lifecycle: Lifecycle, admission: Admission) -> None:
@@ -48,7 +48,7 @@
             reply(ClientReply(status=HTTPStatus.SERVICE_UNAVAILABLE, retry_after_ms=UNCONFIGURED_RETRY_MS))
             return
         answer = self._answer(call, configuration)
-        if answer.rests_on_state:
+        if answer.waits_for_commit:
             self._when_committed(answer, reply)
         else:
             reply(answer.reply)
@@ -57,7 +57,7 @@
         """What a call is answered."""
         route = configuration.match(call.host, call.path)
         if route is None:
-            return Answer(ClientReply(status=HTTPStatus.NOT_FOUND), rests_on_state=False)
+            return Answer(ClientReply(status=HTTPStatus.NOT_FOUND), waits_for_commit=False)
         rest = call.path[len(route.path_prefix) :]
         if call.kind == CallKind.SUBMIT:
             return self._submit(route, rest, call.body)
@@ -72,8 +72,8 @@
         replicator = self._context.replicator
 
         def send() -> None:
-            stands = answer.holds_for_good or replicator.is_primary()
-            reply(answer.reply if stands else NotPrimary(view=replicator.view))
+            still_valid = answer.valid_on_any_primary or replicator.is_primary()
+            reply(answer.reply if still_valid else NotPrimary(view=replicator.view))
 
         self._context.batch.when_committed(send)
 
@@ -81,20 +81,20 @@
 
     def _submit(self, route: Route, job_id: str, body: bytes) -> Answer:
         context = self._context
-        if job_id in context.jobs or job_id in context.ended:
-            return Answer(ClientReply(status=HTTPStatus.OK), holds_for_good=True)
+        if job_id in context.jobs or job_id in context.ended_jobs:
+            return Answer(ClientReply(status=HTTPStatus.OK), valid_on_any_primary=True)
         if not is_job_id(job_id):
-            return _bad("the path does not end with 16 hex digits")
+            return _bad_request("the path does not end with 16 hex digits")
         submission = parse_submission(body)
         if isinstance(submission, Rejection):
-            return _bad(str(submission))
+            return _bad_request(str(submission))
         verdict = self._admission.decide(route, submission)
         if not verdict.admitted:
             context.log.info("job_refused", route=route.name, weight=verdict.weight)
             refusal = ClientReply(status=HTTPStatus.TOO_MANY_REQUESTS, retry_after_ms=verdict.retry_after_ms)
-            return Answer(refusal, rests_on_state=False)
+            return Answer(refusal, waits_for_commit=False)
         self._lifecycle.accept(self._new_job(route, job_id, submission, body, verdict.weight))
-        return Answer(ClientReply(status=HTTPStatus.OK), holds_for_good=True)
+        return Answer(ClientReply(status=HTTPStatus.OK), valid_on_any_primary=True)
 
     def _new_job(self, route: Route, job_id: str, submission: Submission, body: bytes, weight: float) -> Job:
         context = self._context
@@ -109,7 +109,7 @@
             accepted_wall_ms=context.ports.wall_ms(),
             order=order,
             accepted_at=context.clock.now(),
-            terms=route,
+            admitted_route=route,
             weight=weight,
         )
 
@@ -118,29 +118,29 @@
         job = context.jobs.get(job_id)
         if job is not None and job.open:
             self._lifecycle.cancel(job)
-        known = job is not None or job_id in context.ended
+        known = job is not None or job_id in context.ended_jobs
         status = HTTPStatus.OK if known else HTTPStatus.GONE
-        return Answer(ClientReply(status=status), holds_for_good=known)
+        return Answer(ClientReply(status=status), valid_on_any_primary=known)
 
     def _state(self, job_id: str) -> Answer:
         context = self._context
         job = context.jobs.get(job_id)
         if job is not None and job.open:
-            word = "running" if job.started else "pending"
+            state_name = "running" if job.started else "pending"
         else:
-            state = job.state if job is not None else context.ended.get(job_id)
+            state = job.state if job is not None else context.ended_jobs.get(job_id)
             if state is None:
                 return Answer(ClientReply(status=HTTPStatus.GONE))
-            word = _STATE_WORDS[state]
-        return Answer(_json(HTTPStatus.OK, {"state": word}))
+            state_name = _STATE_NAMES[state]
+        return Answer(_json(HTTPStatus.OK, {"state": state_name}))
 
     def _count(self, route: Route) -> Answer:
         pending = len(self._context.pending.get(route.name, ()))
         return Answer(_json(HTTPStatus.OK, {"pending": pending}))
 
 
-def _bad(reason: str) -> Answer:
-    return Answer(_json(HTTPStatus.BAD_REQUEST, {"error": reason}), rests_on_state=False)
+def _bad_request(reason: str) -> Answer:
+    return Answer(_json(HTTPStatus.BAD_REQUEST, {"error": reason}), waits_for_commit=False)
 
 
 def _json(status: HTTPStatus, content: dict[str, str] | dict[str, int]) -> ClientReply:
--- a/pipitledge/scheduling/copies.py
+++ b/pipitledge/scheduling/copies.py
@@ -39,7 +39,7 @@
         for run in list(worker.runs.values()):
             if _may_copy(run):
                 copied += 1
-                self._lifecycle.run_beside(run)
+                self._lifecycle.request_speculative_copy(run)
         if copied:
             self._context.log.info("copies_wanted", peer=worker.node, runs=copied)
 
@@ -47,7 +47,12 @@
 def _may_copy(run: Run) -> bool:
     """Whether a task may run twice at once, and only this run of it is under way."""
     task = run.task
-    step = task.step
-    allowed = step.stage.speculative and not step.gang and not step.stage.long_running and step.job.open
-    present = task.run is run and run.ordered and run.stop is None and not run.settled
-    return allowed and present and len(task.former) < MOST_BESIDE
+    task_group = task.task_group
+    allowed = (
+        task_group.stage.speculative
+        and not task_group.gang
+        and not task_group.stage.long_running
+        and task_group.job.open
+    )
+    present = task.run is run and run.start_sent and run.stop_cause is None and not run.settled
+    return allowed and present and len(task.previous_runs) < MOST_BESIDE
--- a/pipitledge/scheduling/dispatcher.py
+++ b/pipitledge/scheduling/dispatcher.py
@@ -11,11 +11,11 @@
 from pipitledge.scheduling import gangs
 from pipitledge.scheduling.context import Context
 from pipitledge.scheduling.lifecycle import Lifecycle
-from pipitledge.scheduling.orders import Orders
+from pipitledge.scheduling.orders import OrderSender
 from pipitledge.scheduling.placement import Crowd, Seeker, TaskPlacer, choose_gang
 from pipitledge.scheduling.preemption import Preemption
 from pipitledge.scheduling.queue_order import WorkQueue
-from pipitledge.scheduling.tasks import Demand, Run, Step, Task
+from pipitledge.scheduling.tasks import ResourceRequest, Run, Task, TaskGroup
 from pipitledge.scheduling.workers import Worker
 
 GANGS_AT_ONCE = 3  # tried in a pass that isn't full
@@ -29,25 +29,25 @@
     """Demands for which a pass has found no room, by label asked for."""
 
     def __init__(self) -> None:
-        self._demands: dict[str, list[Demand]] = {}
+        self._demands: dict[str, list[ResourceRequest]] = {}
 
-    def add(self, step: Step) -> None:
+    def add(self, task_group: TaskGroup) -> None:
         """No room was found for a task of that step."""
-        self._demands.setdefault(step.stage.node_selector, []).append(step.demand)
+        self._demands.setdefault(task_group.stage.node_selector, []).append(task_group.resource_request)
 
-    def covers(self, step: Step) -> bool:
+    def covers(self, task_group: TaskGroup) -> bool:
         """Whether a step that asked for no more has found no room."""
-        demand = step.demand
-        selector = step.stage.node_selector
-        if any(demand.covers(missed) for missed in self._demands.get("", ())):
+        resource_request = task_group.resource_request
+        selector = task_group.stage.node_selector
+        if any(resource_request.covers(missed) for missed in self._demands.get("", ())):
             return True
-        return bool(selector) and any(demand.covers(missed) for missed in self._demands.get(selector, ()))
+        return bool(selector) and any(resource_request.covers(missed) for missed in self._demands.get(selector, ()))
 
 
 class Dispatcher:
     """Starts what waits."""
 
-    def __init__(self, context: Context, lifecycle: Lifecycle, orders: Orders, preemption: Preemption) -> None:
+    def __init__(self, context: Context, lifecycle: Lifecycle, orders: OrderSender, preemption: Preemption) -> None:
         """Work on the shared state."""
         self._context = context
         self._lifecycle = lifecycle
@@ -69,11 +69,11 @@
         full = now >= self._next_full_pass
         if full:
             self._next_full_pass = now + FULL_PASS_EVERY_S
-        fresh, context.fresh = context.fresh, set()
-        dirty, context.dirty = context.dirty, set()
+        dirty_task_groups, context.dirty_task_groups = context.dirty_task_groups, set()
+        dirty_workers, context.dirty_workers = context.dirty_workers, set()
         for service, queue in context.queues.items():
             if len(queue):
-                self._serve(service, queue, fresh, dirty, full, now)
+                self._serve(service, queue, dirty_task_groups, dirty_workers, full, now)
         self._write()
 
     # ---- writing and ordering
@@ -87,163 +87,173 @@
             context.placed = placed + context.placed
             context.retry_pass()
             return
-        for worker in _by_name(context.unsent):
+        for worker in _by_name(context.workers_to_push):
             self._orders.push(worker)
 
     def _order(self, placed: list[Run]) -> None:
         """Send the orders for runs whose records are committed now."""
         context = self._context
         workers = {context.workers[run.node] for run in placed if run.task.run is run}
-        for worker in _by_name(workers | context.unsent):
+        for worker in _by_name(workers | context.workers_to_push):
             self._orders.push(worker)
 
     # ---- placing
 
     def _serve(
-        self, service: str, queue: WorkQueue, fresh: set[Step], dirty: set[Worker], full: bool, now: float
+        self,
+        service: str,
+        queue: WorkQueue,
+        dirty_task_groups: set[TaskGroup],
+        dirty_workers: set[Worker],
+        full: bool,
+        now: float,
     ) -> None:
         """Place what waits for the workers of one service."""
         everyone = self._context.usable_workers(service, now)
-        gained = Crowd([worker for worker in everyone.workers if worker in dirty])
+        gained = Crowd([worker for worker in everyone.workers if worker in dirty_workers])
         if full:
             queue.reorder(now)
-        steps = list(queue.in_order()) if full or gained else queue.sorted(fresh)
+        task_groups = list(queue.in_order()) if full or gained else queue.sorted(dirty_task_groups)
         too_large = {True: _Misses(), False: _Misses()}  # of all workers, and of those that gained room
         gangs_tried = 0
         idle = full and everyone.mostly_idle()
-        for step in steps:
-            whole = full or step in fresh
-            if idle and _is_pressing(step, now):
-                self._place_anywhere(step, queue, everyone.with_reserve(), now)
+        for task_group in task_groups:
+            whole = full or task_group in dirty_task_groups
+            if idle and _is_pressing(task_group, now):
+                self._place_anywhere(task_group, queue, everyone.with_reserve(), now)
                 continue
-            if step.gang and not whole:
+            if task_group.gang and not whole:
                 gangs_tried += 1
                 if gangs_tried > GANGS_AT_ONCE:
                     continue
-            if too_large[whole].covers(step):
-                self._block(step, now)
+            if too_large[whole].covers(task_group):
+                self._block(task_group, now)
                 continue
-            if self._place(step, queue, everyone if whole else gained, everyone, now):
+            if self._place(task_group, queue, everyone if whole else gained, everyone, now):
                 continue
-            self._block(step, now)
-            if not _constrained(step):
-                too_large[whole].add(step)
-        if full or self._urgent_blocked(queue, fresh):
+            self._block(task_group, now)
+            if not _constrained(task_group):
+                too_large[whole].add(task_group)
+        if full or self._urgent_blocked(queue, dirty_task_groups):
             self._preemption.make_room(queue, everyone.workers, now)
 
-    def _urgent_blocked(self, queue: WorkQueue, fresh: set[Step]) -> bool:
+    def _urgent_blocked(self, queue: WorkQueue, dirty_task_groups: set[TaskGroup]) -> bool:
         """Whether one of the new steps is urgent and has found no room."""
-        return any(queue.is_urgent(step) and step.blocked_since >= 0.0 for step in fresh)
+        return any(queue.is_urgent(task_group) and task_group.blocked_since >= 0.0 for task_group in dirty_task_groups)
 
-    def _place(self, step: Step, queue: WorkQueue, candidates: Crowd, everyone: Crowd, now: float) -> bool:
+    def _place(self, task_group: TaskGroup, queue: WorkQueue, candidates: Crowd, everyone: Crowd, now: float) -> bool:
         """Place all tasks of the step that can be; False if one found no room."""
-        if step.gang:
-            placed = self._place_gang(step, queue, candidates, everyone, now)
+        if task_group.gang:
+            placed = self._place_gang(task_group, queue, candidates, everyone, now)
         else:
-            placed = self._place_tasks(step, queue, candidates, everyone, now)
-        self._leave_if_placed(step, queue)
+            placed = self._place_tasks(task_group, queue, candidates, everyone, now)
+        self._leave_if_placed(task_group, queue)
         return placed
 
-    def _place_anywhere(self, step: Step, queue: WorkQueue, everyone: Crowd, now: float) -> None:
+    def _place_anywhere(self, task_group: TaskGroup, queue: WorkQueue, everyone: Crowd, now: float) -> None:
         """Place what can be of a step that has waited long, whatever else speaks against a worker with room."""
-        rank = queue.rank(step)
+        rank = queue.rank(task_group)
         assert rank is not None, "a step is placed while it waits"
-        seeker = Seeker(step, rank, now, pressing=True)
-        far_x = self._context.figures.bounds.far_x
-        if step.gang:
-            self._assign_gang(step, seeker, everyone)
+        seeker = Seeker(task_group, rank, now, pressing=True)
+        far_x = self._context.timings.bounds.far_x
+        if task_group.gang:
+            self._assign_gang(task_group, seeker, everyone)
         else:
             plain = TaskPlacer(seeker, everyone, everyone, far_x)
-            for task in _furthest_behind_first(step):
+            for task in _furthest_behind_first(task_group):
                 barred = _nodes_in_use(task)
-                beside = Seeker(step, rank, now, barred=barred, pressing=True)
+                beside = Seeker(task_group, rank, now, barred=barred, pressing=True)
                 placer = TaskPlacer(beside, everyone, everyone, far_x) if barred else plain
                 worker = placer.best() if task.not_before <= now else None
                 if worker is not None:
                     self._lifecycle.assign(task, worker, task.last_run + 1)
-        self._leave_if_placed(step, queue)
-        if step.waiting:
-            self._block(step, now)
+        self._leave_if_placed(task_group, queue)
+        if task_group.waiting:
+            self._block(task_group, now)
 
-    def _leave_if_placed(self, step: Step, queue: WorkQueue) -> None:
+    def _leave_if_placed(self, task_group: TaskGroup, queue: WorkQueue) -> None:
         """A step of which nothing waits any more leaves the queue."""
-        if not step.waiting:
-            queue.remove(step)
-            self._preemption.satisfied(step)
+        if not task_group.waiting:
+            queue.remove(task_group)
+            self._preemption.satisfied(task_group)
 
-    def _place_tasks(self, step: Step, queue: WorkQueue, candidates: Crowd, everyone: Crowd, now: float) -> bool:
+    def _place_tasks(
+        self, task_group: TaskGroup, queue: WorkQueue, candidates: Crowd, everyone: Crowd, now: float
+    ) -> bool:
         """Place one task of the step after the other; False if one found no room."""
-        rank = queue.rank(step)
+        rank = queue.rank(task_group)
         assert rank is not None, "a step is placed while it waits"
-        far_x = self._context.figures.bounds.far_x
-        plain = TaskPlacer(Seeker(step, rank, now), candidates, everyone, far_x)
-        for task in _furthest_behind_first(step):
+        far_x = self._context.timings.bounds.far_x
+        plain = TaskPlacer(Seeker(task_group, rank, now), candidates, everyone, far_x)
+        for task in _furthest_behind_first(task_group):
             if task.not_before > now:
                 continue
             avoid, cautious = self._misgivings([task], now)
             barred = _nodes_in_use(task)
             choosy = bool(avoid or barred) or cautious
-            seeker = Seeker(step, rank, now, avoid, barred, cautious)
+            seeker = Seeker(task_group, rank, now, avoid, barred, cautious)
             placer = TaskPlacer(seeker, candidates, everyone, far_x) if choosy else plain
             worker = placer.best()
             if worker is not None:
                 self._lifecycle.assign(task, worker, task.last_run + 1)
             elif not choosy:
                 return False  # the others need the same
-        return not step.waiting
+        return not task_group.waiting
 
-    def _place_gang(self, step: Step, queue: WorkQueue, candidates: Crowd, everyone: Crowd, now: float) -> bool:
+    def _place_gang(
+        self, task_group: TaskGroup, queue: WorkQueue, candidates: Crowd, everyone: Crowd, now: float
+    ) -> bool:
         """Place a gang whole, or not at all."""
-        rank = queue.rank(step)
+        rank = queue.rank(task_group)
         assert rank is not None, "a step is placed while it waits"
         if not candidates:
             return False
-        avoid, cautious = self._misgivings(step.tasks, now)
-        return self._assign_gang(step, Seeker(step, rank, now, avoid, cautious=cautious), everyone)
+        avoid, cautious = self._misgivings(task_group.tasks, now)
+        return self._assign_gang(task_group, Seeker(task_group, rank, now, avoid, cautious=cautious), everyone)
 
-    def _assign_gang(self, step: Step, seeker: Seeker, everyone: Crowd) -> bool:
+    def _assign_gang(self, task_group: TaskGroup, seeker: Seeker, everyone: Crowd) -> bool:
         """Give each member of a gang a worker, if all of them find one."""
-        if any(task.not_before > seeker.now for task in step.tasks):
+        if any(task.not_before > seeker.now for task in task_group.tasks):
             return False
-        workers = choose_gang(seeker, everyone, self._context.figures.bounds.far_x)
+        workers = choose_gang(seeker, everyone, self._context.timings.bounds.far_x)
         if workers is None:
             return False
-        number = gangs.next_number(step)
-        for task, worker in zip(step.tasks, workers, strict=True):
+        number = gangs.next_number(task_group)
+        for task, worker in zip(task_group.tasks, workers, strict=True):
             self._lifecycle.assign(task, worker, number)
         return True
 
     def _misgivings(self, tasks: Sequence[Task], now: float) -> tuple[set[str], bool]:
         """Nodes that tasks had better keep away from, and whether from all suspects: not for ever."""
         first = tasks[0]
-        waited = now - max(first.not_before, first.step.queued_at)
+        waited = now - max(first.not_before, first.task_group.queued_at)
         if waited > PATIENCE_S:
             return set(), False
         avoid: set[str] = set()
         for task in tasks:
-            avoid |= task.avoided
+            avoid |= task.avoided_nodes
             if task.refused_by:
                 avoid.add(task.refused_by)
         return avoid, waited <= CAUTION_S and any(task.failures > 0 for task in tasks)
 
-    def _block(self, step: Step, now: float) -> None:
-        if step.blocked_since < 0.0:
-            step.blocked_since = now
+    def _block(self, task_group: TaskGroup, now: float) -> None:
+        if task_group.blocked_since < 0.0:
+            task_group.blocked_since = now
 
 
-def _is_pressing(step: Step, now: float) -> bool:
+def _is_pressing(task_group: TaskGroup, now: float) -> bool:
     """Whether a step has found no room for so long that any worker will do."""
-    return step.blocked_since >= 0.0 and now - step.blocked_since >= PRESSING_AFTER_S
+    return task_group.blocked_since >= 0.0 and now - task_group.blocked_since >= PRESSING_AFTER_S
 
 
-def _furthest_behind_first(step: Step) -> list[Task]:
+def _furthest_behind_first(task_group: TaskGroup) -> list[Task]:
     """The waiting tasks of a step; those that have failed, or are waited for elsewhere, are the furthest behind."""
-    return sorted(step.waiting.values(), key=lambda task: -task.failures - len(task.former))
+    return sorted(task_group.waiting.values(), key=lambda task: -task.failures - len(task.previous_runs))
 
 
 def _nodes_in_use(task: Task) -> frozenset[str]:
     """Nodes where a run of the task still holds room, beside which a copy is wanted."""
-    return frozenset(run.node for run in task.former)
+    return frozenset(run.node for run in task.previous_runs)
 
 
 def _by_name(workers: set[Worker]) -> list[Worker]:
@@ -255,8 +265,11 @@
         run.committed = True
 
 
-def _constrained(step: Step) -> bool:
+def _constrained(task_group: TaskGroup) -> bool:
     """Whether something other than room may keep it from workers."""
-    stage = step.stage
-    held_back = any(task.avoided or task.refused_by or task.not_before or task.former for task in step.waiting.values())
-    return bool(step.gang or stage.affinity or stage.anti_affinity or held_back)
+    stage = task_group.stage
+    held_back = any(
+        task.avoided_nodes or task.refused_by or task.not_before or task.previous_runs
+        for task in task_group.waiting.values()
+    )
+    return bool(task_group.gang or stage.affinity or stage.anti_affinity or held_back)
--- a/pipitledge/scheduling/evidence.py
+++ b/pipitledge/scheduling/evidence.py
@@ -4,11 +4,11 @@
 
 from pipitledge.scheduling.context import Context
 from pipitledge.scheduling.objectives import START_S
-from pipitledge.scheduling.tasks import Ending, Run
+from pipitledge.scheduling.tasks import Run, RunOutcome
 from pipitledge.scheduling.workers import Worker
 
 SUSPECT_NODES = 3  # a job that fails on so many nodes is to blame itself
-HEALTHY_ENDINGS = (Ending.DONE, Ending.FAILED)
+HEALTHY_ENDINGS = (RunOutcome.DONE, RunOutcome.FAILED)
 
 
 class Evidence:
@@ -18,14 +18,14 @@
         """Work on the shared state."""
         self._context = context
 
-    def judge(self, run: Run, ending: Ending) -> None:
+    def judge(self, run: Run, ending: RunOutcome) -> None:
         """Learn from an end how well its worker does."""
-        if run.task.step.stage.long_running or ending not in HEALTHY_ENDINGS:
+        if run.task.task_group.stage.long_running or ending not in HEALTHY_ENDINGS:
             return
         worker = self._context.workers[run.node]
         if worker.instance != run.instance:
             return
-        if ending is Ending.DONE:
+        if ending is RunOutcome.DONE:
             worker.health.note_success(run.placed_at)
             self._note_pace_of_done(run, worker)
         else:
@@ -34,21 +34,21 @@
     def _note_pace_of_done(self, run: Run, worker: Worker) -> None:
         """A run that ended well tells how fast its worker is."""
         now = self._context.clock.now()
-        self._context.progressed.setdefault(worker.service, {})[worker.node] = now
+        self._context.last_progress_at.setdefault(worker.service, {})[worker.node] = now
         elapsed_s = now - run.placed_at - START_S
-        if not run.resume and elapsed_s > 0.0:
+        if not run.start_checkpoint and elapsed_s > 0.0:
             self.note_pace(run, worker, 1.0 / elapsed_s)
 
     def note_pace(self, run: Run, worker: Worker, rate: float) -> None:
         """A run does so much of its work per second: compare that with its estimate."""
         context = self._context
         now = context.clock.now()
-        stage = run.task.step.stage
+        stage = run.task.task_group.stage
         if stage.long_running or stage.gang or now < worker.cold_until:
             return
         pace = rate * stage.estimate_s
         if stage.affinity and stage.affinity not in worker.labels:
-            pace *= context.figures.bounds.far_x
+            pace *= context.timings.bounds.far_x
         was_slow = worker.health.slow(now)
         worker.health.note_pace(pace, now)
         if worker.health.slow(now) != was_slow:
@@ -57,9 +57,9 @@
     def _blame(self, run: Run, worker: Worker) -> None:
         """Blame a failed end on its worker, unless its job fails everywhere."""
         task = run.task
-        job = task.step.job
+        job = task.task_group.job
         job.failed_nodes.add(run.node)
-        failed_elsewhere = bool(task.avoided - {run.node})
+        failed_elsewhere = bool(task.avoided_nodes - {run.node})
         if failed_elsewhere or len(job.failed_nodes) >= SUSPECT_NODES:
             for node in job.failed_nodes:
                 suspect = self._context.workers.get(node)
--- a/pipitledge/scheduling/gangs.py
+++ b/pipitledge/scheduling/gangs.py
@@ -2,34 +2,34 @@
 
 from __future__ import annotations
 
-from pipitledge.scheduling.tasks import Step
+from pipitledge.scheduling.tasks import TaskGroup
 
 
-def next_number(step: Step) -> int:
+def next_number(task_group: TaskGroup) -> int:
     """The number of a gang's next run: above that of each member's last."""
-    return 1 + max(task.last_run for task in step.tasks)
+    return 1 + max(task.last_run for task in task_group.tasks)
 
 
-def failures(step: Step) -> int:
+def failures(task_group: TaskGroup) -> int:
     """How many of a gang's runs have failed; members that fail in one run count once."""
-    return max(task.failures for task in step.tasks)
+    return max(task.failures for task in task_group.tasks)
 
 
-def level(step: Step) -> None:
+def level(task_group: TaskGroup) -> None:
     """Let all members of a gang that runs no more know the same."""
-    counted = failures(step)
-    saved = newest_checkpoint(step)
-    avoided = set().union(*(task.avoided for task in step.tasks))
-    for task in step.tasks:
+    counted = failures(task_group)
+    checkpoint = newest_checkpoint(task_group)
+    avoided_nodes = set().union(*(task.avoided_nodes for task in task_group.tasks))
+    for task in task_group.tasks:
         task.failures = counted
-        task.saved = saved
-        task.avoided = set(avoided)
-    step.saved_percent = 0.0
+        task.checkpoint = checkpoint
+        task.avoided_nodes = set(avoided_nodes)
+    task_group.checkpoint_percent = 0.0
 
 
-def newest_checkpoint(step: Step) -> str:
+def newest_checkpoint(task_group: TaskGroup) -> str:
     """The checkpoint that all members start from: that of the member whose last run is newest."""
-    told = [task for task in step.tasks if task.saved]
+    told = [task for task in task_group.tasks if task.checkpoint]
     if not told:
         return ""
-    return max(told, key=lambda task: task.last_run).saved
+    return max(told, key=lambda task: task.last_run).checkpoint
--- a/pipitledge/scheduling/job.py
+++ b/pipitledge/scheduling/job.py
@@ -10,15 +10,17 @@
 from msgspec.structs import fields
 
 MAX_SPEC_BYTES = 4_000
-MAX_STEPS = 1_000
+MAX_STAGES = 1_000
 MAX_TASKS = 100_000  # of one time of a job
-MAX_TIMES = 1_000_000
+MAX_OCCURRENCES = 1_000_000
 DEFAULT_ESTIMATE_MS = 1_000.0  # of a task whose client gave no estimate
 JOB_ID_DIGITS = 16
 _HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
 
 
-FIGURES = frozenset(("cpu", "memory_limit_mb", "gpu", "estimated_ms", "anti_affinity"))  # of a step, none below 0
+NON_NEGATIVE_FIELDS = frozenset(
+    ("cpu", "memory_limit_mb", "gpu", "estimated_ms", "anti_affinity")
+)  # of a step, none below 0
 
 
 class Stage(Struct, frozen=True, rename="camel"):
@@ -55,16 +57,16 @@
     repeat_count: int = 0
 
     @property
-    def times(self) -> int:
+    def occurrences(self) -> int:
         """How many times its steps run."""
         return max(1, self.repeat_count)
 
-    def due_ms(self, time: int) -> int:
+    def due_ms(self, occurrence: int) -> int:
         """Time of day from which time `time` may run; 0 for a job that may run at once."""
-        return self.start_at_ms + time * self.interval_ms if self.repeat_count else 0
+        return self.start_at_ms + occurrence * self.interval_ms if self.repeat_count else 0
 
     @property
-    def lasts(self) -> bool:
+    def has_long_running_stage(self) -> bool:
         """Whether some of its tasks run until it is cancelled."""
         return any(stage.long_running for stage in self.stages)
 
@@ -72,12 +74,12 @@
 class Rejection(Struct, frozen=True):
     """Why a body is no job: the place in it, and the reason."""
 
-    place: str
+    path: str
     reason: str
 
     def __str__(self) -> str:
         """The rejection as one line."""
-        return f"{self.place}: {self.reason}"
+        return f"{self.path}: {self.reason}"
 
 
 _DECODER = msgspec.json.Decoder(Submission)
@@ -103,12 +105,12 @@
         return Rejection("spec", f"more than {MAX_SPEC_BYTES} bytes")
     if not submission.stages:
         return Rejection("stages", "a job has at least one step")
-    if len(submission.stages) > MAX_STEPS:
-        return Rejection("stages", f"more than {MAX_STEPS} steps")
+    if len(submission.stages) > MAX_STAGES:
+        return Rejection("stages", f"more than {MAX_STAGES} steps")
     if sum(max(0, stage.count) for stage in submission.stages) > MAX_TASKS:
         return Rejection("stages", f"more than {MAX_TASKS} tasks")
-    if not 0 <= submission.repeat_count <= MAX_TIMES:
-        return Rejection("repeatCount", f"not between 0 and {MAX_TIMES}")
+    if not 0 <= submission.repeat_count <= MAX_OCCURRENCES:
+        return Rejection("repeatCount", f"not between 0 and {MAX_OCCURRENCES}")
     if submission.interval_ms < 0 or submission.start_at_ms < 0:
         return Rejection("intervalMs" if submission.interval_ms < 0 else "startAtMs", "below 0")
     return None
@@ -117,37 +119,37 @@
 def _check_stages(stages: tuple[Stage, ...]) -> Rejection | None:
     """Check each step."""
     for index, stage in enumerate(stages):
-        place = f"stages[{index}]"
+        path = f"stages[{index}]"
         if stage.count < 1:
-            return Rejection(f"{place}.count", "below 1")
-        for figure in fields(stage):
-            if figure.name in FIGURES and getattr(stage, figure.name) < 0:
-                return Rejection(f"{place}.{figure.encode_name}", "below 0")
-        if any(not 0 <= earlier < index for earlier in stage.depends_on):
-            return Rejection(f"{place}.dependsOn", "names a step that isn't an earlier one")
+            return Rejection(f"{path}.count", "below 1")
+        for stage_field in fields(stage):
+            if stage_field.name in NON_NEGATIVE_FIELDS and getattr(stage, stage_field.name) < 0:
+                return Rejection(f"{path}.{stage_field.encode_name}", "below 0")
+        if any(not 0 <= dependency < index for dependency in stage.depends_on):
+            return Rejection(f"{path}.dependsOn", "names a step that isn't an earlier one")
     return None
 
 
-def remaining_chains_s(stages: Sequence[Stage], lengths: Sequence[float]) -> tuple[float, ...]:
+def critical_paths_s(stages: Sequence[Stage], durations: Sequence[float]) -> tuple[float, ...]:
     """For each step, the longest chain of work from its start to the end of the job, in seconds.
 
     `lengths`: seconds that each step takes.
     """
-    chains = [0.0] * len(stages)
+    path_lengths = [0.0] * len(stages)
     for index in range(len(stages) - 1, -1, -1):
-        chains[index] += lengths[index]
-        for earlier in stages[index].depends_on:
-            chains[earlier] = max(chains[earlier], chains[index])
-    return tuple(chains)
+        path_lengths[index] += durations[index]
+        for dependency in stages[index].depends_on:
+            path_lengths[dependency] = max(path_lengths[dependency], path_lengths[index])
+    return tuple(path_lengths)
 
 
-def estimated_lengths_s(stages: Sequence[Stage], waves: Sequence[float]) -> tuple[float, ...]:
+def estimated_durations_s(stages: Sequence[Stage], waves: Sequence[float]) -> tuple[float, ...]:
     """How long each step takes by its estimate, which passes `waves` times until all tasks have had their turn."""
-    return tuple(stage.estimate_s * max(1.0, turns) for stage, turns in zip(stages, waves, strict=True))
+    return tuple(stage.estimate_s * max(1.0, wave_total) for stage, wave_total in zip(stages, waves, strict=True))
 
 
-def waves_of(stage: Stage, share: float, workers: int, room_part: float = 0.25) -> float:
+def wave_count(stage: Stage, worker_fraction: float, workers: int, usable_fraction: float = 0.25) -> float:
     """How many waves a step takes if it may use `room_part` of the workers; `share`: of one worker, a task's need."""
     if workers <= 0:
         return 1.0
-    return float(max(1, math.ceil(stage.count * share / (workers * room_part) - 1e-9)))
+    return float(max(1, math.ceil(stage.count * worker_fraction / (workers * usable_fraction) - 1e-9)))
--- a/pipitledge/scheduling/objectives.py
+++ b/pipitledge/scheduling/objectives.py
@@ -8,8 +8,8 @@
 from __future__ import annotations
 
 from pipitledge.scheduling.context import Context
-from pipitledge.scheduling.job import remaining_chains_s, waves_of
-from pipitledge.scheduling.tasks import Ending, Job, Run, Step, demand_of
+from pipitledge.scheduling.job import critical_paths_s, wave_count
+from pipitledge.scheduling.tasks import Job, Run, RunOutcome, TaskGroup, resource_request_of
 from pipitledge.scheduling.workers import Worker
 
 LATE_FACTOR = 3.0  # up to so many times its objective a job still earns a little
@@ -17,7 +17,7 @@
 MOST_BEYOND_ESTIMATE = (
     3.0  # times its estimate that a run counts for: a longer one tells of its worker, not of its work
 )
-OWN_ENDINGS = (Ending.DONE, Ending.FAILED)
+OWN_ENDINGS = (RunOutcome.DONE, RunOutcome.FAILED)
 
 
 class Objectives:
@@ -27,49 +27,51 @@
         """Work on the shared state."""
         self._context = context
 
-    def begin(self, job: Job, time: int) -> None:
+    def begin(self, job: Job, occurrence: int) -> None:
         """Set the deadlines of one of the job's times, which has come due."""
-        begun_at = self._begin_of(job, time)
+        requested_at = self._begin_of(job, occurrence)
         for index in range(len(job.submission.stages)):
-            job.steps[time, index].begun_at = begun_at
-        self._reckon(job, time)
+            job.task_groups[occurrence, index].requested_at = requested_at
+        self._reckon(job, occurrence)
 
-    def observe(self, run: Run, ending: Ending) -> None:
+    def observe(self, run: Run, ending: RunOutcome) -> None:
         """Learn from the end of a run how long its step takes."""
-        step = run.task.step
-        if ending not in OWN_ENDINGS or step.stage.long_running or run.resume:
+        task_group = run.task.task_group
+        if ending not in OWN_ENDINGS or task_group.stage.long_running or run.start_checkpoint:
             return
         task = run.task
         task.worked_s += self._work_s(run)
-        step.longest_s = max(step.longest_s, task.worked_s)
-        if ending is Ending.DONE:
-            step.ended += 1
-            step.ended_s += task.worked_s
-        self._reckon(step.job, step.time)
+        task_group.measured_max_s = max(task_group.measured_max_s, task.worked_s)
+        if ending is RunOutcome.DONE:
+            task_group.measured_tasks += 1
+            task_group.measured_total_s += task.worked_s
+        self._reckon(task_group.job, task_group.occurrence)
 
     # ---- what a job takes
 
-    def _reckon(self, job: Job, time: int) -> None:
+    def _reckon(self, job: Job, occurrence: int) -> None:
         """Set the deadlines by what is known now."""
         route = self._context.route(job.route)
         stretch = route.stretch if route is not None else 1.0
         target_s = route.target_latency_ms / 1_000.0 if route is not None else 0.0
         stages = job.submission.stages
-        steps = [job.steps[time, index] for index in range(len(stages))]
+        task_groups = [job.task_groups[occurrence, index] for index in range(len(stages))]
         waves = self._waves(job)
-        lengths = [_length_s(step) * max(1.0, turns) for step, turns in zip(steps, waves, strict=True)]
-        chains = remaining_chains_s(stages, lengths)
+        lengths = [
+            _length_s(task_group) * max(1.0, turns) for task_group, turns in zip(task_groups, waves, strict=True)
+        ]
+        chains = critical_paths_s(stages, lengths)
         objective_s = stretch * max(chains) + target_s
-        drain_s = self._drain_s(steps)
-        for step, chain in zip(steps, chains, strict=True):
-            step.deadline = step.begun_at + objective_s
-            step.late_deadline = step.begun_at + LATE_FACTOR * objective_s
-            step.latest_start = step.deadline - chain
-            step.drain_s = drain_s
-
-    def _begin_of(self, job: Job, time: int) -> float:
+        drain_s = self._drain_s(task_groups)
+        for task_group, chain in zip(task_groups, chains, strict=True):
+            task_group.deadline = task_group.requested_at + objective_s
+            task_group.late_deadline = task_group.requested_at + LATE_FACTOR * objective_s
+            task_group.latest_start = task_group.deadline - chain
+            task_group.drain_s = drain_s
+
+    def _begin_of(self, job: Job, occurrence: int) -> float:
         """When (steady time) the work of one time was asked for."""
-        due_ms = job.submission.due_ms(time)
+        due_ms = job.submission.due_ms(occurrence)
         if not due_ms:
             return job.accepted_at
         now = self._context.clock.now()
@@ -77,41 +79,56 @@
 
     def _waves(self, job: Job) -> tuple[float, ...]:
         """In how many waves each of its steps runs, by the workers there are."""
-        room = self._context.room(job.service)
+        service_capacity = self._context.service_capacity(job.service)
         stages = job.submission.stages
-        return tuple(waves_of(stage, room.share_of(demand_of(stage)), room.workers) for stage in stages)
+        return tuple(
+            wave_count(stage, service_capacity.share_of(resource_request_of(stage)), service_capacity.workers)
+            for stage in stages
+        )
 
-    def _drain_s(self, steps: list[Step]) -> float:
+    def _drain_s(self, task_groups: list[TaskGroup]) -> float:
         """For how long what is undone of one time of a job would keep all workers of its service busy."""
-        room = self._context.room(steps[0].job.service)
-        if not room.workers:
+        service_capacity = self._context.service_capacity(task_groups[0].job.service)
+        if not service_capacity.workers:
             return 0.0
-        return sum(step.undone * room.share_of(step.demand) * _usual_s(step) for step in steps) / room.workers
+        return (
+            sum(
+                task_group.unfinished_tasks
+                * service_capacity.share_of(task_group.resource_request)
+                * _usual_s(task_group)
+                for task_group in task_groups
+            )
+            / service_capacity.workers
+        )
 
     # ---- what a run took
 
     def _work_s(self, run: Run) -> float:
         """How long a run would have taken on a sound worker near its data."""
-        stage = run.task.step.stage
+        stage = run.task.task_group.stage
         elapsed_s = max(0.0, self._context.clock.now() - run.placed_at - START_S)
         worker = self._context.workers.get(run.node)
         if worker is not None:
             elapsed_s *= min(1.0, worker.health.speed)
-            if _is_far(run.task.step, worker):
-                elapsed_s /= max(1.0, self._context.figures.bounds.far_x)
+            if _is_far(run.task.task_group, worker):
+                elapsed_s /= max(1.0, self._context.timings.bounds.far_x)
         return min(elapsed_s, MOST_BEYOND_ESTIMATE * stage.estimate_s)
 
 
-def _is_far(step: Step, worker: Worker) -> bool:
+def _is_far(task_group: TaskGroup, worker: Worker) -> bool:
     """Whether a worker is away from the data of a step."""
-    return bool(step.stage.affinity) and step.stage.affinity not in worker.labels
+    return bool(task_group.stage.affinity) and task_group.stage.affinity not in worker.labels
 
 
-def _length_s(step: Step) -> float:
+def _length_s(task_group: TaskGroup) -> float:
     """How long the longest of a step's tasks takes, as far as is known."""
-    return max(step.longest_s, _usual_s(step))
+    return max(task_group.measured_max_s, _usual_s(task_group))
 
 
-def _usual_s(step: Step) -> float:
+def _usual_s(task_group: TaskGroup) -> float:
     """How long a step's tasks take in the mean: by those that have ended, else by the estimate."""
-    return step.ended_s / step.ended if step.ended else step.stage.estimate_s
+    return (
+        task_group.measured_total_s / task_group.measured_tasks
+        if task_group.measured_tasks
+        else task_group.stage.estimate_s
+    )
--- a/pipitledge/scheduling/placement.py
+++ b/pipitledge/scheduling/placement.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from pipitledge.scheduling.queue_order import Rank
-from pipitledge.scheduling.tasks import Step
+from pipitledge.scheduling.tasks import TaskGroup
 from pipitledge.scheduling.workers import Worker
 
 WAIT_FOR_NEAR = 0.5  # of what going far costs, a step waits for room near by
@@ -26,7 +26,7 @@
 class Seeker:
     """Who looks for a worker, and what else bears on the choice."""
 
-    step: Step
+    task_group: TaskGroup
     rank: Rank
     now: float
     avoid: Collection[str] = field(default_factory=frozenset)  # nodes
@@ -112,13 +112,13 @@
         """`candidates` are to be looked at; `everyone` tells whether waiting for room near by makes sense."""
         self._seeker = seeker
         self._candidates = candidates
-        stage = seeker.step.stage
+        stage = seeker.task_group.stage
         self._near: Ranking | None = None
         self._others: Ranking | None = None
         self._waits = False
         if stage.affinity:
             self._near = Ranking(seeker, candidates.labelled(stage.affinity))
-            self._waits = not seeker.pressing and waits_for_near(seeker.step, everyone, seeker.now, far_x)
+            self._waits = not seeker.pressing and waits_for_near(seeker.task_group, everyone, seeker.now, far_x)
 
     def best(self) -> Worker | None:
         """A worker for the next task, or None if there is no room that it should take now."""
@@ -126,37 +126,37 @@
         if near is not None or self._waits:
             return near
         if self._others is None:
-            self._others = Ranking(self._seeker, self._candidates.selected(self._seeker.step.stage.node_selector))
+            self._others = Ranking(self._seeker, self._candidates.selected(self._seeker.task_group.stage.node_selector))
         return self._others.best()
 
 
-def waits_for_near(step: Step, everyone: Crowd, now: float, far_x: float) -> bool:
+def waits_for_near(task_group: TaskGroup, everyone: Crowd, now: float, far_x: float) -> bool:
     """Whether the step had better still wait for room on the rack that holds its data."""
-    if now >= step.queued_at + near_patience_s(step, far_x):
+    if now >= task_group.queued_at + near_patience_s(task_group, far_x):
         return False
-    return any(worker.could_fit(step.demand) for worker in everyone.labelled(step.stage.affinity))
+    return any(worker.could_fit(task_group.resource_request) for worker in everyone.labelled(task_group.stage.affinity))
 
 
-def near_patience_s(step: Step, far_x: float) -> float:
+def near_patience_s(task_group: TaskGroup, far_x: float) -> float:
     """How long a step waits for room near by before it goes elsewhere."""
-    return min(LONGEST_WAIT_FOR_NEAR_S, WAIT_FOR_NEAR * max(0.0, far_x - 1.0) * step.stage.estimate_s)
+    return min(LONGEST_WAIT_FOR_NEAR_S, WAIT_FOR_NEAR * max(0.0, far_x - 1.0) * task_group.stage.estimate_s)
 
 
 def choose_gang(seeker: Seeker, everyone: Crowd, far_x: float) -> list[Worker] | None:
     """Workers for all tasks of a gang at once, or None if they don't all fit now."""
-    step = seeker.step
-    rack = step.stage.affinity
+    task_group = seeker.task_group
+    rack = task_group.stage.affinity
     if rack:
         near = _choose_all(seeker, everyone.labelled(rack))
         if near is not None:
             return near
-    suited = everyone.selected(step.stage.node_selector)
-    if step.stage.same_rack:
+    suited = everyone.selected(task_group.stage.node_selector)
+    if task_group.stage.same_rack:
         within = _choose_within_rack(seeker, suited)
         if within is not None:
             return within
-    patient = not seeker.pressing and seeker.now < step.queued_at + near_patience_s(step, far_x)
-    if patient and (rack or step.stage.same_rack):
+    patient = not seeker.pressing and seeker.now < task_group.queued_at + near_patience_s(task_group, far_x)
+    if patient and (rack or task_group.stage.same_rack):
         return None
     return _choose_all(seeker, suited)
 
@@ -180,36 +180,36 @@
 
 def _choose_all(seeker: Seeker, workers: Sequence[Worker]) -> list[Worker] | None:
     """Workers for all tasks of the step; what is tried is taken back."""
-    step = seeker.step
+    task_group = seeker.task_group
     ranking = Ranking(seeker, workers)
     chosen: list[Worker] = []
     try:
-        while len(chosen) < len(step.tasks):
+        while len(chosen) < len(task_group.tasks):
             worker = ranking.best()
             if worker is None:
                 return None
-            worker.take(step.demand)
-            step.on_node[worker.node] = step.on_node.get(worker.node, 0) + 1
+            worker.take(task_group.resource_request)
+            task_group.runs_per_node[worker.node] = task_group.runs_per_node.get(worker.node, 0) + 1
             chosen.append(worker)
         return list(chosen)
     finally:
         for worker in chosen:
-            worker.give(step.demand)
-            step.on_node[worker.node] -= 1
+            worker.give(task_group.resource_request)
+            task_group.runs_per_node[worker.node] -= 1
 
 
 def _may_take(seeker: Seeker, worker: Worker) -> bool:
     """Whether a worker has room for a task of the step, and the task may run there."""
-    return worker.fits(seeker.step.demand) and _allowed(seeker, worker)
+    return worker.fits(seeker.task_group.resource_request) and _allowed(seeker, worker)
 
 
 def _allowed(seeker: Seeker, worker: Worker) -> bool:
     """Whether the step may run there, room apart."""
-    step = seeker.step
-    stage = step.stage
+    task_group = seeker.task_group
+    stage = task_group.stage
     if stage.node_selector and stage.node_selector not in worker.labels:
         return False
-    if stage.anti_affinity and step.on_node.get(worker.node, 0) >= stage.anti_affinity:
+    if stage.anti_affinity and task_group.runs_per_node.get(worker.node, 0) >= stage.anti_affinity:
         return False
     if worker.node in seeker.barred:
         return False
@@ -225,7 +225,7 @@
 def _claimed(seeker: Seeker, worker: Worker) -> bool:
     """Whether the worker is kept free for a step that goes before this one."""
     claim = worker.claim
-    if claim is None or claim.step is seeker.step or seeker.now >= claim.until:
+    if claim is None or claim.task_group is seeker.task_group or seeker.now >= claim.until:
         return False
     return claim.rank < seeker.rank
 
@@ -235,4 +235,4 @@
     speed = min(MOST_SPEED, max(LEAST_SPEED, worker.health.speed))
     if seeker.now < worker.cold_until:
         speed *= COLD_WEIGHT
-    return (worker.free_share_after(seeker.step.demand) + FREE_SHARE_BIAS) * speed
+    return (worker.free_share_after(seeker.task_group.resource_request) + FREE_SHARE_BIAS) * speed
--- a/pipitledge/scheduling/records.py
+++ b/pipitledge/scheduling/records.py
@@ -25,7 +25,7 @@
     return TASK_PREFIX + task
 
 
-def job_value(job: Job, keep_body: bool) -> bytes:
+def encode_job(job: Job, keep_body: bool) -> bytes:
     """A job's record; one that is over for good needs its body no more."""
     return encode_record(
         JobRecord(
@@ -36,15 +36,15 @@
             state=int(job.state),
             accepted_wall_ms=job.accepted_wall_ms,
             order=job.order,
-            priority=job.terms.priority,
-            max_attempts=job.terms.max_attempts,
-            stretch=job.terms.stretch,
-            target_latency_ms=job.terms.target_latency_ms,
+            priority=job.admitted_route.priority,
+            max_attempts=job.admitted_route.max_attempts,
+            stretch=job.admitted_route.stretch,
+            target_latency_ms=job.admitted_route.target_latency_ms,
         )
     )
 
 
-def terms_of(record: JobRecord) -> Route:
+def admitted_route_of(record: JobRecord) -> Route:
     """The route of a job as it was at acceptance."""
     return Route(
         name=record.route,
@@ -58,7 +58,7 @@
     )
 
 
-def task_value(task: Task) -> bytes:
+def encode_task(task: Task) -> bytes:
     """A task's record."""
     run = task.run
     assigned = run is not None and task.phase is TaskPhase.ASSIGNED
@@ -69,8 +69,8 @@
             node=run.node if run is not None and assigned else "",
             instance=run.instance if run is not None and assigned else "",
             failures=task.failures,
-            saved=task.saved,
-            stopping=run is not None and assigned and run.stop is not None,
+            saved=task.checkpoint,
+            stopping=run is not None and assigned and run.stop_cause is not None,
         )
     )
 
--- a/pipitledge/scheduling/reports.py
+++ b/pipitledge/scheduling/reports.py
@@ -8,8 +8,16 @@
 from pipitledge.runtime.handlers import Reply
 from pipitledge.scheduling.context import Context
 from pipitledge.scheduling.lifecycle import Lifecycle
-from pipitledge.scheduling.orders import Orders
-from pipitledge.scheduling.tasks import Demand, Ending, Run, Step, StopCause, ending_of, parse_task_name
+from pipitledge.scheduling.orders import OrderSender
+from pipitledge.scheduling.tasks import (
+    ResourceRequest,
+    Run,
+    RunOutcome,
+    StopCause,
+    TaskGroup,
+    parse_task_name,
+    run_outcome_of,
+)
 from pipitledge.scheduling.workers import Worker
 from pipitledge.wire.messages import (
     AgentReport,
@@ -20,15 +28,15 @@
     WorkerInfo,
 )
 
-ENDS_AT_ONCE = 500  # a worker lists no more ends at a time; a shorter list is whole
-LONGEST_DEFERRAL_S = 0.25  # an answer waits so long at most for the commit of the ends in its report
-REFUSAL_PATIENCE_S = 0.5  # a refusal that no lists confirm for so long is followed by a stop
-BEGUN_WITHIN_S = 0.5  # after its placing a run is there, or its order was lost
+MAX_LISTED_ENDS = 500  # a worker lists no more ends at a time; a shorter list is whole
+MAX_ANSWER_DELAY_S = 0.25  # an answer waits so long at most for the commit of the ends in its report
+REFUSAL_CONFIRMATION_S = 0.5  # a refusal that no lists confirm for so long is followed by a stop
+START_GRACE_S = 0.5  # after its placing a run is there, or its order was lost
 START = "start"
 STARTED = "started"
 
 
-class _Deferred:
+class _DeferredAnswer:
     """A report whose answer waits for a commit."""
 
     __slots__ = ("due", "reply", "report", "worker")
@@ -40,15 +48,15 @@
         self.due = due
 
 
-class Reports:
+class ReportHandler:
     """Takes agents' reports and answers with orders."""
 
-    def __init__(self, context: Context, lifecycle: Lifecycle, orders: Orders) -> None:
+    def __init__(self, context: Context, lifecycle: Lifecycle, orders: OrderSender) -> None:
         """Work on the shared state."""
         self._context = context
         self._lifecycle = lifecycle
         self._orders = orders
-        self._deferred: deque[_Deferred] = deque()
+        self._deferred: deque[_DeferredAnswer] = deque()
 
     def clear(self) -> None:
         """Forget answers that wait."""
@@ -62,12 +70,12 @@
             return
         now = context.clock.now()
         worker = context.worker(report.node)
-        worker.held_until = max(worker.held_until, now + context.figures.lapse_s)
+        worker.held_until = max(worker.held_until, now + context.timings.lease_expiry_s)
         for instance in report.ended_instances:  # true whenever it was sent
             if instance not in worker.dead_instances:
-                self._lifecycle.end_life(worker, instance)
+                self._lifecycle.end_instance(worker, instance)
         if worker.newer(report):
-            self._take(worker, report, now)
+            self._apply_report(worker, report, now)
         if worker.ends_seen > worker.acknowledged:
             self._answer_when_committed(worker, report, reply, now)
         else:
@@ -83,18 +91,18 @@
 
     def _answer_when_committed(self, worker: Worker, report: AgentReport, reply: Reply, now: float) -> None:
         """Answer once the report's ends are committed, so that the answer acknowledges them."""
-        instance, seen = worker.instance, worker.ends_seen
-        deferred = _Deferred(worker, report, reply, now + LONGEST_DEFERRAL_S)
+        instance, ends_seen = worker.instance, worker.ends_seen
+        deferred = _DeferredAnswer(worker, report, reply, now + MAX_ANSWER_DELAY_S)
         self._deferred.append(deferred)
 
         def committed() -> None:
             if worker.instance == instance:
-                worker.acknowledged = max(worker.acknowledged, seen)
+                worker.acknowledged = max(worker.acknowledged, ends_seen)
             self._answer(deferred)
 
         self._context.batch.when_committed(committed)
 
-    def _answer(self, deferred: _Deferred) -> None:
+    def _answer(self, deferred: _DeferredAnswer) -> None:
         reply, deferred.reply = deferred.reply, None
         if reply is None:
             return
@@ -105,109 +113,111 @@
 
     # ---- taking
 
-    def _take(self, worker: Worker, report: AgentReport, now: float) -> None:
+    def _apply_report(self, worker: Worker, report: AgentReport, now: float) -> None:
         context = self._context
-        usable = worker.usable(now, context.figures.heartbeat_s)
+        usable = worker.usable(now, context.timings.heartbeat_s)
         worker.address = report.address
         worker.reported_at = now
         worker.unreachable = False
         worker.silent = report.silent_ms > 0 or bool(report.lapsed_instance)
-        if report.worker is not None and self._enter_life(worker, report, report.worker):
+        if report.worker is not None and self._enter_instance(worker, report, report.worker):
             worker.describe(report.worker, now, report.worker.heartbeat_age_ms / 1_000.0)
             if report.hold_number > 0:
-                self._take_lists(worker, report, now)
-        if report.lapsed_instance and self._is_of_this_term(report):
-            self._lifecycle.lapse_life(worker, report.lapsed_instance)
-        if worker.usable(now, context.figures.heartbeat_s) != usable:
+                self._apply_lists(worker, report, now)
+        if report.lapsed_instance and self._is_of_current_term(report):
+            self._lifecycle.expire_instance(worker, report.lapsed_instance)
+        if worker.usable(now, context.timings.heartbeat_s) != usable:
             context.usability_changed(worker)
             context.request_pass()
 
-    def _is_of_this_term(self, report: AgentReport) -> bool:
+    def _is_of_current_term(self, report: AgentReport) -> bool:
         """Whether the agent obeyed this primary when it made the report; a copy may have been long on its way."""
         return report.term == self._context.replicator.term
 
-    def _enter_life(self, worker: Worker, report: AgentReport, info: WorkerInfo) -> bool:
+    def _enter_instance(self, worker: Worker, report: AgentReport, info: WorkerInfo) -> bool:
         """Whether the report tells of the life that the worker is in; a new one counts once it has answered."""
         if info.instance == worker.instance:
             return True
         if info.instance in worker.dead_instances:
             return False
         answered = report.hold_number > 0 and report.hold_fence == self._context.replicator.term
-        old_lives = {run.instance for run in worker.runs.values()} - {info.instance}
-        if not answered and (worker.instance or old_lives):
+        old_instances = {run.instance for run in worker.runs.values()} - {info.instance}
+        if not answered and (worker.instance or old_instances):
             return False
         if worker.instance:
-            old_lives.add(worker.instance)
-        for instance in sorted(old_lives):
-            self._lifecycle.end_life(worker, instance)
+            old_instances.add(worker.instance)
+        for instance in sorted(old_instances):
+            self._lifecycle.end_instance(worker, instance)
         worker.begin_life(info.instance)
         self._context.usability_changed(worker)
         return True
 
-    def _take_lists(self, worker: Worker, report: AgentReport, now: float) -> None:
+    def _apply_lists(self, worker: Worker, report: AgentReport, now: float) -> None:
         """Set the worker's lists against its runs."""
         if report.hold_number < worker.hold_number:
             return
         worker.hold_number = report.hold_number
         worker.hold_at = max(worker.hold_at, now - max(0, report.hold_age_ms) / 1_000.0)
         worker.hold_current = report.hold_fence == self._context.replicator.term
-        self._take_running(worker, report.running, now)
-        self._take_finished(worker, report.finished)
-        if not self._is_of_this_term(report):
+        self._apply_running(worker, report.running, now)
+        self._apply_finished(worker, report.finished)
+        if not self._is_of_current_term(report):
             return  # its results are of an earlier primary's orders, which may have given others since
-        whole = len(report.finished) < ENDS_AT_ONCE
-        if whole:
-            listed = {(end.task, end.run) for end in report.finished}
-            self._release_settled(worker, report, listed)
+        complete = len(report.finished) < MAX_LISTED_ENDS
+        if complete:
+            finished_keys = {(end.task, end.run) for end in report.finished}
+            self._release_settled(worker, report, finished_keys)
             for result in report.results:
-                self._take_result(worker, result, report, listed)
+                self._apply_result(worker, result, report, finished_keys)
         else:
             for result in report.results:
                 if not result.at_hold:
-                    self._take_refusal(worker, result)
+                    self._apply_refusal(worker, result)
 
-    def _take_running(self, worker: Worker, running: list[RunningTask], now: float) -> None:
-        foreign: dict[tuple[str, int], Demand | None] = {}
-        shown: set[str] = set()
+    def _apply_running(self, worker: Worker, running: list[RunningTask], now: float) -> None:
+        foreign: dict[tuple[str, int], ResourceRequest | None] = {}
+        listed_tasks: set[str] = set()
         absent: list[Run] = []
         for entry in running:
             run = worker.runs.get(entry.task)
             if run is not None and run.number == entry.run:
-                shown.add(entry.task)
-                self._lifecycle.go_on_with(run)
-                self._take_progress(worker, run, entry, now)
+                listed_tasks.add(entry.task)
+                self._lifecycle.withdraw_copy_request(run)
+                self._apply_progress(worker, run, entry, now)
             else:
-                foreign[entry.task, entry.run] = self._demand_of(entry.task)
+                foreign[entry.task, entry.run] = self._resource_request_of(entry.task)
         for name, run in worker.runs.items():
-            run.shown = name in shown
-            if not run.shown and worker.hold_at > run.placed_at + BEGUN_WITHIN_S:
+            run.listed = name in listed_tasks
+            if not run.listed and worker.hold_at > run.placed_at + START_GRACE_S:
                 absent.append(run)
         for run in absent:
-            self._lifecycle.end_if_never_begun(run)
+            self._lifecycle.stop_if_never_started(run)
         if worker.show_foreign(foreign):
             for key in foreign:
                 worker.foreign_stops.setdefault(key, -math.inf)
-            self._context.dirty.add(worker)
+            self._context.dirty_workers.add(worker)
             self._context.request_pass()
 
-    def _demand_of(self, name: str) -> Demand | None:
+    def _resource_request_of(self, name: str) -> ResourceRequest | None:
         """What a task needs, if it is of a job that is known."""
-        step = self._step_of(name)
-        return step.demand if step is not None else None
+        task_group = self._task_group_of(name)
+        return task_group.resource_request if task_group is not None else None
 
-    def _step_of(self, name: str) -> Step | None:
+    def _task_group_of(self, name: str) -> TaskGroup | None:
         """The step of a task, if its job is known."""
         parsed = parse_task_name(name)
         job = self._context.jobs.get(parsed.job) if parsed is not None else None
-        return job.steps.get((parsed.time, parsed.step)) if job is not None and parsed is not None else None
+        return (
+            job.task_groups.get((parsed.occurrence, parsed.stage)) if job is not None and parsed is not None else None
+        )
 
-    def _take_progress(self, worker: Worker, run: Run, entry: RunningTask, now: float) -> None:
+    def _apply_progress(self, worker: Worker, run: Run, entry: RunningTask, now: float) -> None:
         """Take note of how far a run has come, and of its checkpoint."""
-        run.seen = True
-        self._lifecycle.note_saved(run, entry.saved)
-        if run.percent_hold == worker.hold_number:
+        run.ever_listed = True
+        self._lifecycle.record_checkpoint(run, entry.saved)
+        if run.percent_hold_number == worker.hold_number:
             return  # these lists are known
-        run.percent_hold = worker.hold_number
+        run.percent_hold_number = worker.hold_number
         run.percent_at = worker.hold_at
         if run.first_percent_at < 0.0:
             run.first_percent = run.percent = entry.percent
@@ -215,11 +225,11 @@
         elif entry.percent > run.percent:
             run.percent = entry.percent
             run.progressed_at = now
-            self._context.progressed.setdefault(worker.service, {})[worker.node] = now
-        if run.stop is None and run.rate > 0.0:
+            self._context.last_progress_at.setdefault(worker.service, {})[worker.node] = now
+        if run.stop_cause is None and run.rate > 0.0:
             self._lifecycle.evidence.note_pace(run, worker, run.rate)
 
-    def _take_finished(self, worker: Worker, finished: list[FinishedTask]) -> None:
+    def _apply_finished(self, worker: Worker, finished: list[FinishedTask]) -> None:
         """Take in the ends that are new, in their order."""
         instance = worker.instance
         for end in finished:
@@ -228,64 +238,69 @@
             worker.ends_seen = end.number
             run = worker.runs.get(end.task)
             if run is not None and run.number == end.run and run.instance == instance:
-                self._lifecycle.run_ended(run, ending_of(end.how), end.saved)
-            elif ending_of(end.how) is Ending.DONE:
-                self._take_stray_success(end)
+                self._lifecycle.run_ended(run, run_outcome_of(end.how), end.saved)
+            elif run_outcome_of(end.how) is RunOutcome.DONE:
+                self._apply_unassigned_success(end)
 
-    def _take_stray_success(self, end: FinishedTask) -> None:
+    def _apply_unassigned_success(self, end: FinishedTask) -> None:
         """A run that this primary does not know of ended well: it counts where copies may run beside each other."""
-        step = self._step_of(end.task)
+        task_group = self._task_group_of(end.task)
         name = parse_task_name(end.task)
-        if step is None or name is None or not step.stage.speculative or name.index >= len(step.tasks):
+        if (
+            task_group is None
+            or name is None
+            or not task_group.stage.speculative
+            or name.index >= len(task_group.tasks)
+        ):
             return
-        task = step.tasks[name.index]
-        if end.run <= task.last_run and step.job.open:
-            self._lifecycle.done_beside(task)
+        task = task_group.tasks[name.index]
+        if end.run <= task.last_run and task_group.job.open:
+            self._lifecycle.complete_by_other_run(task)
 
     # ---- results of orders
 
-    def _release_settled(self, worker: Worker, report: AgentReport, listed: set[tuple[str, int]]) -> None:
+    def _release_settled(self, worker: Worker, report: AgentReport, finished_keys: set[tuple[str, int]]) -> None:
         """Free the room of a done gang's members that are gone from the lists."""
         for run in list(worker.runs.values()):
-            gone = run.settled and not run.shown and report.hold_number > run.settled_hold
-            if gone and run.instance == worker.instance and (run.task.name, run.number) not in listed:
-                self._lifecycle.run_ended(run, Ending.DONE)
+            gone = run.settled and not run.listed and report.hold_number > run.settled_hold_number
+            if gone and run.instance == worker.instance and (run.task.name, run.number) not in finished_keys:
+                self._lifecycle.run_ended(run, RunOutcome.DONE)
 
-    def _take_result(
-        self, worker: Worker, result: OrderResult, report: AgentReport, listed: set[tuple[str, int]]
+    def _apply_result(
+        self, worker: Worker, result: OrderResult, report: AgentReport, finished_keys: set[tuple[str, int]]
     ) -> None:
         """Take in how an order ended, where the lists are whole."""
         run = worker.runs.get(result.task)
-        if run is None or run.number != result.run or run.instance != worker.instance or run.shown:
+        if run is None or run.number != result.run or run.instance != worker.instance or run.listed:
             return
-        if (result.task, result.run) in listed or result.outcome == STARTED:
+        if (result.task, result.run) in finished_keys or result.outcome == STARTED:
             return
         conclusive = report.hold_number >= result.at_hold
         if result.order != START:
             if result.outcome == "gone" or (result.outcome in ("stopped", "old") and conclusive):
-                self._lifecycle.run_ended(run, Ending.STOPPED)
+                self._lifecycle.run_ended(run, RunOutcome.STOPPED)
         elif result.outcome == "old":
             if conclusive:
-                self._lifecycle.run_ended(run, Ending.LAPSED)
+                self._lifecycle.run_ended(run, RunOutcome.LAPSED)
         elif conclusive:
-            self._take_refusal(worker, result)
+            self._apply_refusal(worker, result)
         else:
-            self._make_certain(run)
+            self._confirm_refusal(run)
 
-    def _make_certain(self, run: Run) -> None:
+    def _confirm_refusal(self, run: Run) -> None:
         """A refused run may have been started late and stopped since: lists made after that tell, or a stop does."""
         now = self._context.clock.now()
         if run.refused_at < 0.0:
             run.refused_at = now
-        elif now - run.refused_at >= REFUSAL_PATIENCE_S:
+        elif now - run.refused_at >= REFUSAL_CONFIRMATION_S:
             self._lifecycle.request_stop(run, StopCause.REFUSED)
 
-    def _take_refusal(self, worker: Worker, result: OrderResult) -> None:
+    def _apply_refusal(self, worker: Worker, result: OrderResult) -> None:
         """A worker refused a start for certain: the run never was."""
         run = worker.runs.get(result.task)
         if run is None or run.number != result.run or run.instance != worker.instance:
             return
-        if result.order != START or result.outcome in (STARTED, "old") or run.seen:
+        if result.order != START or result.outcome in (STARTED, "old") or run.ever_listed:
             return
         now = self._context.clock.now()
         if result.outcome == "unhealthy":
@@ -294,4 +309,4 @@
             worker.draining = True
         self._context.usability_changed(worker)
         self._context.log.info("start_refused", peer=worker.node, task=result.task, reason=result.outcome)
-        self._lifecycle.run_ended(run, Ending.REFUSED)
+        self._lifecycle.run_ended(run, RunOutcome.REFUSED)
--- a/pipitledge/scheduling/restore.py
+++ b/pipitledge/scheduling/restore.py
@@ -8,12 +8,12 @@
 from pipitledge.scheduling.admission import Admission
 from pipitledge.scheduling.context import Context
 from pipitledge.scheduling.lifecycle import Lifecycle
-from pipitledge.scheduling.records import StoredJob, StoredTask, read_state, task_key, terms_of
-from pipitledge.scheduling.tasks import Job, Run, Step, StopCause, Task
+from pipitledge.scheduling.records import StoredJob, StoredTask, admitted_route_of, read_state, task_key
+from pipitledge.scheduling.tasks import Job, Run, StopCause, Task, TaskGroup
 from pipitledge.wire.messages import JobRecord, TaskPhase
 
 
-class Restore:
+class StateRestorer:
     """Takes over from replicated state."""
 
     def __init__(self, context: Context, lifecycle: Lifecycle, admission: Admission) -> None:
@@ -22,7 +22,7 @@
         self._lifecycle = lifecycle
         self._admission = admission
 
-    def take(self, state: Mapping[str, bytes]) -> None:
+    def restore(self, state: Mapping[str, bytes]) -> None:
         """Make everything in the state known, and go on with it."""
         stored = read_state(state)
         for key in stored.unreadable:
@@ -31,26 +31,28 @@
             self._context.batch.delete(key)
         for job in sorted(stored.jobs.values(), key=lambda job: job.record.order):
             self._context.next_order = max(self._context.next_order, job.record.order + 1)
-            self._take_job(job)
+            self._restore_job(job)
 
-    def _take_job(self, stored: StoredJob) -> None:
+    def _restore_job(self, stored: StoredJob) -> None:
         """Make one job known."""
         lifecycle = self._lifecycle
         if stored.submission is None:
-            self._drop_tasks(stored.tasks)
+            self._delete_task_records(stored.tasks)
             lifecycle.remember_ended(stored.record.id, stored.state)
             return
         job = self._new_job(stored)
-        self._context.remember_route(job.terms)
-        lifecycle.enter(job)
-        for time in range(1 + max([self._last_due_time(job), *(task.name.time for task in stored.tasks)])):
-            lifecycle.create_time(job, time)
+        self._context.remember_route(job.admitted_route)
+        lifecycle.add_job(job)
+        for occurrence in range(
+            1 + max([self._last_due_occurrence(job), *(task.name.occurrence for task in stored.tasks)])
+        ):
+            lifecycle.create_occurrence(job, occurrence)
         for task in stored.tasks:
-            self._take_task(job, task)
+            self._restore_task(job, task)
         if job.open:
-            self._go_on(job)
+            self._continue_job(job)
         else:
-            self._finish(job)
+            self._finish_ended_job(job)
 
     def _new_job(self, stored: StoredJob) -> Job:
         record: JobRecord = stored.record
@@ -66,13 +68,13 @@
             accepted_wall_ms=record.accepted_wall_ms,
             order=record.order,
             accepted_at=clock.now() - age_s,
-            terms=terms_of(record),
+            admitted_route=admitted_route_of(record),
             state=stored.state,
             started=bool(stored.tasks),
             weight=self._admission.weigh(record.service, stored.submission),
         )
 
-    def _last_due_time(self, job: Job) -> int:
+    def _last_due_occurrence(self, job: Job) -> int:
         """The last of the job's times that has come due by this node's time of day; -1: none."""
         submission = job.submission
         if not submission.repeat_count:
@@ -80,72 +82,76 @@
         past_ms = self._context.ports.wall_ms() - submission.start_at_ms
         if past_ms < 0:
             return -1
-        last = past_ms // submission.interval_ms if submission.interval_ms else submission.times
-        return min(submission.times - 1, last)
+        last = past_ms // submission.interval_ms if submission.interval_ms else submission.occurrences
+        return min(submission.occurrences - 1, last)
 
-    def _take_task(self, job: Job, stored: StoredTask) -> None:
+    def _restore_task(self, job: Job, stored: StoredTask) -> None:
         """Bring one task to where its record says it stands."""
         name, record = stored.name, stored.record
-        step = job.steps.get((name.time, name.step))
-        if step is None or name.index >= len(step.tasks):
+        task_group = job.task_groups.get((name.occurrence, name.stage))
+        if task_group is None or name.index >= len(task_group.tasks):
             self._context.batch.delete(task_key(str(name)))
             return
-        task = step.tasks[name.index]
-        task.recorded = True
+        task = task_group.tasks[name.index]
+        task.has_record = True
         task.phase = TaskPhase(record.phase)
         task.last_run = record.run
         task.failures = record.failures
-        task.saved = record.saved
+        task.checkpoint = record.saved
         if task.phase is TaskPhase.DONE:
-            step.undone -= 1
+            task_group.unfinished_tasks -= 1
         elif task.phase is TaskPhase.ASSIGNED:
-            self._take_run(task, record.node, record.instance)
+            self._restore_run(task, record.node, record.instance)
 
-    def _take_run(self, task: Task, node: str, instance: str) -> None:
+    def _restore_run(self, task: Task, node: str, instance: str) -> None:
         """A run may exist, and its order may have left."""
         now = self._context.clock.now()
-        run = Run(task, task.last_run, node, instance, now, committed=True, ordered=True, resume=task.saved)
-        run.saved = task.saved
-        run.saved_at = run.progressed_at = now
-        self._lifecycle.hold_room(run, self._context.worker(node))
+        run = Run(
+            task, task.last_run, node, instance, now, committed=True, start_sent=True, start_checkpoint=task.checkpoint
+        )
+        run.checkpoint = task.checkpoint
+        run.checkpoint_at = run.progressed_at = now
+        self._lifecycle.allocate(run, self._context.worker(node))
 
-    def _go_on(self, job: Job) -> None:
+    def _continue_job(self, job: Job) -> None:
         """Queue what is due and does not run."""
-        for step in list(job.steps.values()):
+        for task_group in list(job.task_groups.values()):
             stages = job.submission.stages
-            earlier = set(stages[step.index].depends_on)
-            step.awaited = sum(not job.steps[step.time, index].done for index in earlier)
-        for time in job.undone_steps:
-            steps = [job.steps[time, index] for index in range(len(job.submission.stages))]
-            job.undone_steps[time] = sum(not step.done for step in steps)
-            job.times_done += job.undone_steps[time] == 0
-        for step in list(job.steps.values()):
-            if not step.done and step.awaited == 0:
-                self._go_on_step(step)
+            earlier = set(stages[task_group.index].depends_on)
+            task_group.unmet_dependencies = sum(
+                not job.task_groups[task_group.occurrence, index].done for index in earlier
+            )
+        for occurrence in job.unfinished_task_groups:
+            task_groups = [job.task_groups[occurrence, index] for index in range(len(job.submission.stages))]
+            job.unfinished_task_groups[occurrence] = sum(not task_group.done for task_group in task_groups)
+            job.completed_occurrences += job.unfinished_task_groups[occurrence] == 0
+        for task_group in list(job.task_groups.values()):
+            if not task_group.done and task_group.unmet_dependencies == 0:
+                self._continue_task_group(task_group)
         self._lifecycle.complete_if_done(job)
         if job.open:
-            self._lifecycle.open_due_times(job)
+            self._lifecycle.start_due_occurrences(job)
 
-    def _go_on_step(self, step: Step) -> None:
-        if step.gang:
-            self._mend_gang(step)
-        self._lifecycle.queue_if_ready(step)
+    def _continue_task_group(self, task_group: TaskGroup) -> None:
+        if task_group.gang:
+            self._repair_gang(task_group)
+        self._lifecycle.queue_if_ready(task_group)
 
-    def _mend_gang(self, step: Step) -> None:
+    def _repair_gang(self, task_group: TaskGroup) -> None:
         """Stop the rest of a gang's run that one member has left."""
-        runs = list(step.runs())
+        runs = list(task_group.runs())
         if not runs:
-            gangs.level(step)
-        elif len(runs) < len(step.tasks):
+            gangs.level(task_group)
+        elif len(runs) < len(task_group.tasks):
             for run in runs:
                 self._lifecycle.request_stop(run, StopCause.GANG_BROKEN)
 
-    def _finish(self, job: Job) -> None:
+    def _finish_ended_job(self, job: Job) -> None:
         """Stop what may still run of a job that is over."""
-        self._lifecycle.forget_idle_tasks(job)
+        self._lifecycle.delete_idle_task_records(job)
         self._lifecycle.stop_runs(job)
         self._lifecycle.retire_if_over(job)
 
-    def _drop_tasks(self, tasks: list[StoredTask]) -> None:
+    def _delete_task_records(self, tasks: list[StoredTask]) -> None:
         for task in tasks:
             self._context.batch.delete(task_key(str(task.name)))
--- a/pipitledge/scheduling/watch.py
+++ b/pipitledge/scheduling/run_monitor.py
@@ -8,53 +8,53 @@
 from pipitledge.scheduling.tasks import Run, StopCause
 from pipitledge.scheduling.workers import Worker
 
-STALL_S = 1.0  # without progress while others progress, and more for long tasks
-STALL_PART = 0.15  # of a task's estimate
-PROGRESS_MEMORY_S = 4.0  # lists are seconds old where no end comes
-RATE_AFTER_S = 1.0  # of progress, before a run's rate is believed
+STALL_TIMEOUT_S = 1.0  # without progress while others progress, and more for long tasks
+STALL_ESTIMATE_FRACTION = 0.15  # of a task's estimate
+RECENT_PROGRESS_S = 4.0  # lists are seconds old where no end comes
+MIN_RATE_OBSERVATION_S = 1.0  # of progress, before a run's rate is believed
 MOVE_FACTOR = 2.0  # a run is moved if it takes so many times as long where it is
 MOVE_SLACK_S = 0.5
-MOST_MOVES = 2  # of one task
+MAX_MOVES = 2  # of one task
 LEAVE_SLACK_S = 0.6  # before a worker leaves, what can be saved is stopped
-SURE_FACTOR = 1.5  # a run that needs so many times what is left can't end in time
-RUNS_EVERY_S = 0.5
+CERTAIN_OVERRUN_FACTOR = 1.5  # a run that needs so many times what is left can't end in time
+RUN_CHECK_INTERVAL_S = 0.5
 
 
-class Watch:
+class RunMonitor:
     """Looks after runs and workers from time to time."""
 
     def __init__(self, context: Context, lifecycle: Lifecycle) -> None:
         """Work on the shared state."""
         self._context = context
         self._lifecycle = lifecycle
-        self._next_look = 0.0
+        self._next_run_check = 0.0
 
     def clear(self) -> None:
         """Look at everything at the next tick."""
-        self._next_look = 0.0
+        self._next_run_check = 0.0
 
     def tick(self) -> None:
         """Look at all workers, and now and then at all runs."""
         now = self._context.clock.now()
-        look = now >= self._next_look
-        if look:
-            self._next_look = now + RUNS_EVERY_S
+        check_runs = now >= self._next_run_check
+        if check_runs:
+            self._next_run_check = now + RUN_CHECK_INTERVAL_S
         for worker in list(self._context.workers.values()):
             if not worker.runs:
                 continue
             if now > worker.held_until:
-                self._lifecycle.lapse(worker)
+                self._lifecycle.expire_worker(worker)
                 continue
             if worker.draining:
-                self._prepare_leaving(worker, now)
-            if look:
-                self._look_at_runs(worker, now)
+                self._stop_before_leaving(worker, now)
+            if check_runs:
+                self._check_runs(worker, now)
 
     # ---- runs that don't get on
 
-    def _look_at_runs(self, worker: Worker, now: float) -> None:
+    def _check_runs(self, worker: Worker, now: float) -> None:
         for run in list(worker.runs.values()):
-            if not run.shown or run.stop is not None or run.settled or run.task.step.stage.long_running:
+            if not run.listed or run.stop_cause is not None or run.settled or run.task.task_group.stage.long_running:
                 continue
             if self._stalled(worker, run, now):
                 self._context.log.warning("run_stalled", peer=worker.node, task=run.task.name)
@@ -69,40 +69,44 @@
 
     def _stalled(self, worker: Worker, run: Run, now: float) -> bool:
         """Whether a run stands still while work on other workers goes on."""
-        bounds = self._context.figures.bounds
-        patience_s = STALL_S + STALL_PART * run.task.step.stage.estimate_s + bounds.restore_ms / 1_000.0
-        if run.task.step.gang:
-            patience_s += bounds.gang_ms / 1_000.0
-        if run.percent_at - run.progressed_at <= patience_s or run.percent >= 100.0:
+        bounds = self._context.timings.bounds
+        stall_timeout_s = (
+            STALL_TIMEOUT_S
+            + STALL_ESTIMATE_FRACTION * run.task.task_group.stage.estimate_s
+            + bounds.restore_ms / 1_000.0
+        )
+        if run.task.task_group.gang:
+            stall_timeout_s += bounds.gang_ms / 1_000.0
+        if run.percent_at - run.progressed_at <= stall_timeout_s or run.percent >= 100.0:
             return False
-        progressed = self._context.progressed.get(worker.service, {})
-        return any(node != worker.node and now - at < PROGRESS_MEMORY_S for node, at in progressed.items())
+        last_progress_at = self._context.last_progress_at.get(worker.service, {})
+        return any(node != worker.node and now - at < RECENT_PROGRESS_S for node, at in last_progress_at.items())
 
     def _should_move(self, worker: Worker, run: Run, now: float) -> bool:
         """Whether a run gets on so slowly that it had better start anew elsewhere."""
-        stage = run.task.step.stage
+        stage = run.task.task_group.stage
         rate = run.rate
-        if run.observed_s < RATE_AFTER_S or rate <= 0.0 or run.task.moves >= MOST_MOVES:
+        if run.observed_s < MIN_RATE_OBSERVATION_S or rate <= 0.0 or run.task.moves >= MAX_MOVES:
             return False
         if rate * stage.estimate_s >= SLOW_PACE or not worker.health.slow(now):
             return False
-        if run.task.step.gang and not stage.checkpoints:
+        if run.task.task_group.gang and not stage.checkpoints:
             return False
         left = 1.0 - run.percent / 100.0
-        restore_s = self._context.figures.bounds.restore_ms / 1_000.0
+        restore_s = self._context.timings.bounds.restore_ms / 1_000.0
         elsewhere_s = left * stage.estimate_s + restore_s if stage.checkpoints else stage.estimate_s
-        elsewhere_s += self._context.figures.stop_s
-        return run.remaining_s(now) > MOVE_FACTOR * elsewhere_s + MOVE_SLACK_S and self._room_elsewhere(
+        elsewhere_s += self._context.timings.stop_s
+        return run.remaining_s(now) > MOVE_FACTOR * elsewhere_s + MOVE_SLACK_S and self._fits_elsewhere(
             worker, run, now
         )
 
-    def _room_elsewhere(self, worker: Worker, run: Run, now: float) -> bool:
+    def _fits_elsewhere(self, worker: Worker, run: Run, now: float) -> bool:
         """Whether another worker could take the task at once."""
-        step = run.task.step
-        selector = step.stage.node_selector
+        task_group = run.task.task_group
+        selector = task_group.stage.node_selector
         return any(
             other is not worker
-            and other.fits(step.demand)
+            and other.fits(task_group.resource_request)
             and (not selector or selector in other.labels)
             and not other.health.slow(now)
             for other in self._context.usable_workers(worker.service, now).workers
@@ -110,17 +114,19 @@
 
     # ---- workers that leave
 
-    def _prepare_leaving(self, worker: Worker, now: float) -> None:
+    def _stop_before_leaving(self, worker: Worker, now: float) -> None:
         """Save what can't end before the worker leaves, and start anew early what is lost anyway."""
         left_s = worker.leaves_at - now
-        last_moment = left_s <= self._context.figures.stop_s + LEAVE_SLACK_S
+        last_moment = left_s <= self._context.timings.stop_s + LEAVE_SLACK_S
         for run in list(worker.runs.values()):
-            if run.stop is not None or run.settled or not run.task.step.job.open:
+            if run.stop_cause is not None or run.settled or not run.task.task_group.job.open:
                 continue
-            stage = run.task.step.stage
+            stage = run.task.task_group.stage
             remaining_s = run.remaining_s(now)
             if stage.long_running or stage.checkpoints:
                 if last_moment and (stage.long_running or remaining_s > left_s):
-                    self._lifecycle.request_stop(run, StopCause.LEAVING)
-            elif remaining_s > SURE_FACTOR * left_s + MOVE_SLACK_S and self._room_elsewhere(worker, run, now):
-                self._lifecycle.request_stop(run, StopCause.LEAVING)
+                    self._lifecycle.request_stop(run, StopCause.WORKER_LEAVING)
+            elif remaining_s > CERTAIN_OVERRUN_FACTOR * left_s + MOVE_SLACK_S and self._fits_elsewhere(
+                worker, run, now
+            ):
+                self._lifecycle.request_stop(run, StopCause.WORKER_LEAVING)
--- a/pipitledge/scheduling/scheduler.py
+++ b/pipitledge/scheduling/scheduler.py
@@ -7,21 +7,21 @@
 from pipitledge.runtime.handlers import Handlers
 from pipitledge.runtime.ports import Timer
 from pipitledge.scheduling.admission import Admission
-from pipitledge.scheduling.calls import ClientCalls
-from pipitledge.scheduling.context import Context, Figures, Node, Ports
+from pipitledge.scheduling.calls import ClientCallHandler
+from pipitledge.scheduling.context import Context, NodeIdentity, Ports, SchedulerTimings
 from pipitledge.scheduling.copies import Copies
 from pipitledge.scheduling.dispatcher import Dispatcher
 from pipitledge.scheduling.lifecycle import Lifecycle
-from pipitledge.scheduling.orders import Orders
+from pipitledge.scheduling.orders import OrderSender
 from pipitledge.scheduling.preemption import Preemption
-from pipitledge.scheduling.reports import Reports
-from pipitledge.scheduling.restore import Restore
+from pipitledge.scheduling.reports import ReportHandler
+from pipitledge.scheduling.restore import StateRestorer
+from pipitledge.scheduling.run_monitor import RunMonitor
 from pipitledge.scheduling.usage import UsagePublisher
-from pipitledge.scheduling.watch import Watch
 from pipitledge.wire.messages import AgentReport, ClientCall
 
 TICK_S = 0.1
-SHORTEST_TICK_S = 0.005
+MIN_TICK_S = 0.005
 
 
 def _no_agents() -> Sequence[str]:
@@ -32,20 +32,24 @@
     """Runs jobs on workers, while this node is primary."""
 
     def __init__(
-        self, ports: Ports, figures: Figures, me: Node, agents: Callable[[], Sequence[str]] = _no_agents
+        self,
+        ports: Ports,
+        timings: SchedulerTimings,
+        identity: NodeIdentity,
+        agents: Callable[[], Sequence[str]] = _no_agents,
     ) -> None:
         """Act through `ports`; `agents` gives the addresses of the agents that are known, told of each new term."""
-        self._context = Context(ports, figures, me)
+        self._context = Context(ports, timings, identity)
         self._agents = agents
         self._lifecycle = Lifecycle(self._context)
-        self._orders = Orders(self._context)
+        self._orders = OrderSender(self._context)
         self._admission = Admission(self._context)
         self._usage = UsagePublisher(self._context, self._admission.usage)
         self._preemption = Preemption(self._context, self._lifecycle)
         self._dispatcher = Dispatcher(self._context, self._lifecycle, self._orders, self._preemption)
-        self._reports = Reports(self._context, self._lifecycle, self._orders)
-        self._calls = ClientCalls(self._context, self._lifecycle, self._admission)
-        self._watch = Watch(self._context, self._lifecycle)
+        self._reports = ReportHandler(self._context, self._lifecycle, self._orders)
+        self._calls = ClientCallHandler(self._context, self._lifecycle, self._admission)
+        self._run_monitor = RunMonitor(self._context, self._lifecycle)
         self._copies = Copies(self._context, self._lifecycle)
         self._timer: Timer | None = None
         self._context.on_pass = self._dispatcher.run_pass
@@ -68,12 +72,12 @@
 
     def activated(self, term: int, state: Mapping[str, bytes]) -> None:
         """This node has become primary, and `state` is all of the replicated state."""
-        self._forget()
+        self._reset()
         context = self._context
         context.active = True
         context.activated_at = context.clock.now()
-        Restore(context, self._lifecycle, self._admission).take(state)
-        context.log.info("scheduler_active", epoch=term, jobs=len(context.jobs), ended=len(context.ended))
+        StateRestorer(context, self._lifecycle, self._admission).restore(state)
+        context.log.info("scheduler_active", epoch=term, jobs=len(context.jobs), ended=len(context.ended_jobs))
         for address in self._agents():
             self._orders.announce(address)
         context.request_pass()
@@ -83,14 +87,14 @@
         """This node is primary no longer: drop everything, answer nothing more."""
         if self._context.active:
             self._context.log.info("scheduler_inactive")
-        self._forget()
+        self._reset()
 
-    def _forget(self) -> None:
+    def _reset(self) -> None:
         self._context.active = False
         self._context.cancel_pass()
         self._context.batch.drop()
         self._context.clear()
-        for part in (self._lifecycle, self._preemption, self._dispatcher, self._reports, self._watch):
+        for part in (self._lifecycle, self._preemption, self._dispatcher, self._reports, self._run_monitor):
             part.clear()
         if self._timer is not None:
             self._timer.cancel()
@@ -104,10 +108,10 @@
         if not context.active:
             return
         if context.replicator.is_primary():
-            self._watch.tick()
+            self._run_monitor.tick()
             self._copies.tick()
-            self._lifecycle.begin_due_times()
-            self._lifecycle.delete_old_jobs()
+            self._lifecycle.start_due_jobs()
+            self._lifecycle.delete_expired_jobs()
             self._reports.answer_overdue()
             if any(len(queue) for queue in context.queues.values()):
                 context.request_pass()
@@ -117,4 +121,4 @@
         due_s = self._lifecycle.next_due_s()
         if due_s is None:
             return TICK_S
-        return min(TICK_S, max(SHORTEST_TICK_S, due_s))
+        return min(TICK_S, max(MIN_TICK_S, due_s))
--- a/pipitledge/scheduling/tasks.py
+++ b/pipitledge/scheduling/tasks.py
@@ -13,28 +13,28 @@
 from pipitledge.scheduling.job import Stage, Submission
 from pipitledge.wire.messages import JobState, TaskPhase
 
-LEAST_OBSERVED_S = 0.5  # of progress, before its rate means something
+MIN_OBSERVATION_S = 0.5  # of progress, before its rate means something
 
 
-class Ending(enum.Enum):
+class RunOutcome(enum.Enum):
     """How a run ended."""
 
     DONE = "done"
     FAILED = "failed"  # through its own fault or the worker's
     STOPPED = "stopped"
     LAPSED = "lapsed"  # its worker's hold ran out
-    BROKEN = "broken"  # another member of its gang ended
-    ALONE = "alone"  # the other members of its gang did not come
-    LIFE_OVER = "life over"  # its worker's life ended
+    GANG_BROKEN = "broken"  # another member of its gang ended
+    GANG_INCOMPLETE = "alone"  # the other members of its gang did not come
+    INSTANCE_TERMINATED = "life over"  # its worker's life ended
     REFUSED = "refused"  # its worker never started it
 
 
-_ENDINGS = {ending.value: ending for ending in Ending}
+_RUN_OUTCOMES = {ending.value: ending for ending in RunOutcome}
 
 
-def ending_of(how: str) -> Ending:
+def run_outcome_of(how: str) -> RunOutcome:
     """The ending that a worker's list names; one that is not known counts as stopped."""
-    return _ENDINGS.get(how, Ending.STOPPED)
+    return _RUN_OUTCOMES.get(how, RunOutcome.STOPPED)
 
 
 class StopCause(enum.Enum):
@@ -45,19 +45,19 @@
     PREEMPTED = "preempted"
     STALLED = "stalled"
     SLOW = "slow"
-    LEAVING = "worker leaves"
+    WORKER_LEAVING = "worker leaves"
     REFUSED = "start refused"
-    COPIED = "a copy runs instead"
+    SUPERSEDED = "a copy runs instead"
 
 
-class Demand(Struct, frozen=True):
+class ResourceRequest(Struct, frozen=True):
     """What a task needs of its worker while it runs."""
 
     cpu: int
     memory_mb: int
     gpu: int
 
-    def covers(self, other: Demand) -> bool:
+    def covers(self, other: ResourceRequest) -> bool:
         """Whether it is at least `other` in everything."""
         return self.cpu >= other.cpu and self.memory_mb >= other.memory_mb and self.gpu >= other.gpu
 
@@ -66,13 +66,13 @@
     """The parts of a task's name."""
 
     job: str
-    time: int
-    step: int
+    occurrence: int
+    stage: int
     index: int
 
     def __str__(self) -> str:
         """The name as it is written on the wire."""
-        return f"{self.job}.{self.time}.{self.step}.{self.index}"
+        return f"{self.job}.{self.occurrence}.{self.stage}.{self.index}"
 
 
 def parse_task_name(text: str) -> TaskName | None:
@@ -93,25 +93,25 @@
     instance: str
     placed_at: float
     committed: bool = False  # its record is in replicated state
-    ordered: bool = False  # a start order may have left
-    ordered_at: float = -math.inf
-    shown: bool = False  # in the worker's newest list of running tasks
-    seen: bool = False  # was in such a list at some time
+    start_sent: bool = False  # a start order may have left
+    start_sent_at: float = -math.inf
+    listed: bool = False  # in the worker's newest list of running tasks
+    ever_listed: bool = False  # was in such a list at some time
     refused_at: float = -1.0  # when its worker was first told to have refused it, while that isn't certain
-    stop: StopCause | None = None
+    stop_cause: StopCause | None = None
     stop_sent_at: float = -math.inf
-    resume: str = ""  # the checkpoint that its start brings
-    saved: str = ""  # the checkpoint it told last
-    saved_at: float = 0.0  # when that was renewed, or its start
+    start_checkpoint: str = ""  # the checkpoint that its start brings
+    checkpoint: str = ""  # the checkpoint it told last
+    checkpoint_at: float = 0.0  # when that was renewed, or its start
     percent: float = 0.0
     percent_at: float = -math.inf  # its percent was told by lists made at that time or later
-    percent_hold: int = 0  # number of the hold call that told it
+    percent_hold_number: int = 0  # number of the hold call that told it
     progressed_at: float = 0.0  # it had come this far by then
     first_percent: float = 0.0
     first_percent_at: float = -1.0  # when its progress was first known; -1: not yet
     settled: bool = False  # its task is decided without it, only the end of its room is awaited
     settled_at: float = 0.0
-    settled_hold: int = 0  # lists up to this hold call may not show its end
+    settled_hold_number: int = 0  # lists up to this hold call may not show its end
 
     @property
     def observed_s(self) -> float:
@@ -121,7 +121,7 @@
     @property
     def rate(self) -> float:
         """Its progress in parts of its work per second, at most; 0 if not known."""
-        if self.observed_s < LEAST_OBSERVED_S:
+        if self.observed_s < MIN_OBSERVATION_S:
             return 0.0
         return (self.percent - self.first_percent) / 100.0 / self.observed_s
 
@@ -130,7 +130,7 @@
         rate = self.rate
         if rate > 0.0:
             return max(0.0, (1.0 - self.percent / 100.0) / rate - (now - self.percent_at))
-        estimate = self.task.step.stage.estimate_s
+        estimate = self.task.task_group.stage.estimate_s
         return max(0.0, estimate - (now - self.placed_at), estimate * (1.0 - self.percent / 100.0))
 
 
@@ -138,18 +138,18 @@
 class Task:
     """One task of a step at one of the job's times."""
 
-    step: Step
+    task_group: TaskGroup
     index: int
     name: str
     phase: TaskPhase = TaskPhase.WAITING
     last_run: int = 0
     failures: int = 0
-    saved: str = ""
+    checkpoint: str = ""
     run: Run | None = None
-    former: list[Run] = field(default_factory=list)  # that hold room still, beside a copy
-    recorded: bool = False  # a record of it exists
+    previous_runs: list[Run] = field(default_factory=list)  # that hold room still, beside a copy
+    has_record: bool = False  # a record of it exists
     not_before: float = 0.0
-    avoided: set[str] = field(default_factory=set)  # nodes where it failed
+    avoided_nodes: set[str] = field(default_factory=set)  # nodes where it failed
     refused_by: str = ""  # node that would not start it last
     short_runs: int = 0  # of a lasting task: runs in a row that ended soon
     preempted_at: float = -math.inf
@@ -158,42 +158,42 @@
 
     def live_runs(self) -> list[Run]:
         """Its runs that hold room."""
-        return [*self.former, self.run] if self.run is not None else list(self.former)
+        return [*self.previous_runs, self.run] if self.run is not None else list(self.previous_runs)
 
 
 @dataclass(slots=True, eq=False, repr=False)
-class Step:
+class TaskGroup:
     """One step of a job at one of its times: the unit that waits in the queue."""
 
     job: Job
-    time: int
+    occurrence: int
     index: int
     stage: Stage
-    demand: Demand
+    resource_request: ResourceRequest
     tasks: list[Task] = field(default_factory=list)
     waiting: dict[int, Task] = field(default_factory=dict)  # by index, in the order in which they wait
-    on_node: dict[str, int] = field(default_factory=dict)  # tasks that hold room, by node
-    undone: int = 0
-    awaited: int = 0  # steps it depends on that are not done
+    runs_per_node: dict[str, int] = field(default_factory=dict)  # tasks that hold room, by node
+    unfinished_tasks: int = 0
+    unmet_dependencies: int = 0  # steps it depends on that are not done
     ready: bool = False
     queued_at: float = 0.0  # since when some of its tasks wait
     blocked_since: float = -1.0  # no room was found since then; -1: not blocked
-    begun_at: float = 0.0  # when the work of its time was asked for
-    ended: int = 0  # tasks whose ends told how long they take
-    ended_s: float = 0.0  # the sum of that
-    longest_s: float = 0.0  # the longest of that, failed tries included
+    requested_at: float = 0.0  # when the work of its time was asked for
+    measured_tasks: int = 0  # tasks whose ends told how long they take
+    measured_total_s: float = 0.0  # the sum of that
+    measured_max_s: float = 0.0  # the longest of that, failed tries included
     latest_start: float = 0.0
     drain_s: float = 0.0  # for how long the whole time would keep all workers of the service busy
     deadline: float = 0.0  # of the whole time, to meet the objective
     late_deadline: float = 0.0  # after it nothing is earned
-    saved_percent: float = 0.0  # of a gang: progress at which its common checkpoint was told
+    checkpoint_percent: float = 0.0  # of a gang: progress at which its common checkpoint was told
     next_preemption: float = 0.0
-    no_claim_before: float = 0.0
+    no_reservation_before: float = 0.0
 
     @property
     def done(self) -> bool:
         """Whether all of its tasks have ended `done`."""
-        return self.undone == 0
+        return self.unfinished_tasks == 0
 
     @property
     def gang(self) -> bool:
@@ -207,7 +207,7 @@
     @property
     def key(self) -> tuple[str, int, int]:
         """What identifies it."""
-        return (self.job.id, self.time, self.index)
+        return (self.job.id, self.occurrence, self.index)
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -222,12 +222,12 @@
     accepted_wall_ms: int
     order: int
     accepted_at: float
-    terms: Route  # its route as it was at acceptance
+    admitted_route: Route  # its route as it was at acceptance
     state: JobState = JobState.OPEN
-    steps: dict[tuple[int, int], Step] = field(default_factory=dict)  # by (time, step)
-    next_time: int = 0  # the first time that has not come due
-    times_done: int = 0
-    undone_steps: dict[int, int] = field(default_factory=dict)  # by time
+    task_groups: dict[tuple[int, int], TaskGroup] = field(default_factory=dict)  # by (time, step)
+    next_occurrence: int = 0  # the first time that has not come due
+    completed_occurrences: int = 0
+    unfinished_task_groups: dict[int, int] = field(default_factory=dict)  # by time
     started: bool = False
     weight: float = 0.0
     failed_nodes: set[str] = field(default_factory=set)
@@ -239,22 +239,32 @@
 
     def tasks(self) -> Iterator[Task]:
         """All tasks of the times that have come due."""
-        for step in self.steps.values():
-            yield from step.tasks
+        for task_group in self.task_groups.values():
+            yield from task_group.tasks
 
     def live_runs(self) -> list[Run]:
         """All runs of its tasks that hold room."""
         return [run for task in self.tasks() for run in task.live_runs()]
 
 
-def demand_of(stage: Stage) -> Demand:
+def resource_request_of(stage: Stage) -> ResourceRequest:
     """What each task of a step needs."""
-    return Demand(stage.cpu, stage.memory_limit_mb, stage.gpu)
+    return ResourceRequest(stage.cpu, stage.memory_limit_mb, stage.gpu)
 
 
-def new_step(job: Job, time: int, index: int) -> Step:
+def new_task_group(job: Job, occurrence: int, index: int) -> TaskGroup:
     """A step at one time, with its tasks, all waiting."""
     stage = job.submission.stages[index]
-    step = Step(job, time, index, stage, demand_of(stage), undone=stage.count, awaited=len(set(stage.depends_on)))
-    step.tasks = [Task(step, number, f"{job.id}.{time}.{index}.{number}") for number in range(stage.count)]
-    return step
+    task_group = TaskGroup(
+        job,
+        occurrence,
+        index,
+        stage,
+        resource_request_of(stage),
+        unfinished_tasks=stage.count,
+        unmet_dependencies=len(set(stage.depends_on)),
+    )
+    task_group.tasks = [
+        Task(task_group, number, f"{job.id}.{occurrence}.{index}.{number}") for number in range(stage.count)
+    ]
+    return task_group
--- a/pipitledge/scheduling/workers.py
+++ b/pipitledge/scheduling/workers.py
@@ -8,21 +8,21 @@
 
 from pipitledge.scheduling.health import Health
 from pipitledge.scheduling.queue_order import Rank
-from pipitledge.scheduling.tasks import Demand, Run, Step
+from pipitledge.scheduling.tasks import ResourceRequest, Run, TaskGroup
 from pipitledge.wire.messages import AgentReport, WorkerInfo
 
 HEARTBEATS_UNTIL_STALE = 2.5
 REPORT_STALE_S = 2.5  # without a report nothing new is placed
 LIVES_REMEMBERED = 8
 DRAINING = "draining"
-NOTHING = Demand(0, 0, 0)
+NOTHING = ResourceRequest(0, 0, 0)
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class Claim:
     """A worker is kept free for a step; lower-ranked work doesn't start there."""
 
-    step: Step
+    task_group: TaskGroup
     rank: Rank
     until: float
 
@@ -43,7 +43,7 @@
     slots: int = 0
     labels: frozenset[str] = frozenset()
     rack: str = ""
-    capacity: Demand = NOTHING
+    capacity: ResourceRequest = NOTHING
     draining: bool = False
     leaves_at: float = math.inf
     cold_until: float = 0.0
@@ -51,7 +51,7 @@
     free_memory_mb: int = 0
     free_gpu: int = 0
     runs: dict[str, Run] = field(default_factory=dict)  # by task; all lives that may still run
-    foreign: dict[tuple[str, int], Demand | None] = field(default_factory=dict)  # shown there and not wanted
+    foreign: dict[tuple[str, int], ResourceRequest | None] = field(default_factory=dict)  # shown there and not wanted
     foreign_stops: dict[tuple[str, int], float] = field(default_factory=dict)  # when they were last told to stop
     ends_seen: int = 0
     acknowledged: int = 0
@@ -129,7 +129,7 @@
 
     def describe(self, info: WorkerInfo, now: float, age_s: float) -> None:
         """Take over what its newest heartbeat tells."""
-        capacity = Demand(info.cpu, info.memory_mb, info.gpu)
+        capacity = ResourceRequest(info.cpu, info.memory_mb, info.gpu)
         self.service = info.service
         self.slots = info.slots
         if len(self.labels) != len(info.labels) or not self.labels.issuperset(info.labels):
@@ -144,29 +144,29 @@
             self.capacity = capacity
             self.recount()
 
-    def add(self, run: Run, demand: Demand) -> None:
+    def add(self, run: Run, resource_request: ResourceRequest) -> None:
         """A run takes room."""
         self.runs[run.task.name] = run
         if run.instance != self.instance:
             return
-        self.take(demand)
-        if self.health.on_trial and not run.task.step.stage.long_running:  # such a trial would never end
+        self.take(resource_request)
+        if self.health.on_trial and not run.task.task_group.stage.long_running:  # such a trial would never end
             self.health.trial_task = run.task.name
             self.health.trial_at = run.placed_at
 
-    def take(self, demand: Demand) -> None:
+    def take(self, resource_request: ResourceRequest) -> None:
         """Use some of its room."""
-        self.free_cpu -= demand.cpu
-        self.free_memory_mb -= demand.memory_mb
-        self.free_gpu -= demand.gpu
+        self.free_cpu -= resource_request.cpu
+        self.free_memory_mb -= resource_request.memory_mb
+        self.free_gpu -= resource_request.gpu
 
-    def give(self, demand: Demand) -> None:
+    def give(self, resource_request: ResourceRequest) -> None:
         """Give room back."""
-        self.free_cpu += demand.cpu
-        self.free_memory_mb += demand.memory_mb
-        self.free_gpu += demand.gpu
+        self.free_cpu += resource_request.cpu
+        self.free_memory_mb += resource_request.memory_mb
+        self.free_gpu += resource_request.gpu
 
-    def remove(self, run: Run, demand: Demand) -> bool:
+    def remove(self, run: Run, resource_request: ResourceRequest) -> bool:
         """A run's room is free again; False if it held none."""
         if self.runs.get(run.task.name) is not run:
             return False
@@ -174,10 +174,10 @@
         if self.health.trial_task == run.task.name:
             self.health.trial_task = ""
         if run.instance == self.instance:
-            self.give(demand)
+            self.give(resource_request)
         return True
 
-    def show_foreign(self, foreign: dict[tuple[str, int], Demand | None]) -> bool:
+    def show_foreign(self, foreign: dict[tuple[str, int], ResourceRequest | None]) -> bool:
         """Take note of unwanted runs that its list shows; whether anything changed."""
         if foreign == self.foreign:
             return False
@@ -188,32 +188,42 @@
 
     def recount(self) -> None:
         """Reckon its room from nothing."""
-        used = [run.task.step.demand for run in self.runs.values() if run.instance == self.instance]
-        for demand in self.foreign.values():
-            used.append(self.capacity if demand is None else demand)  # of unknown size: it may be full
-        self.free_cpu = self.capacity.cpu - sum(demand.cpu for demand in used)
-        self.free_memory_mb = self.capacity.memory_mb - sum(demand.memory_mb for demand in used)
-        self.free_gpu = self.capacity.gpu - sum(demand.gpu for demand in used)
-
-    def fits(self, demand: Demand) -> bool:
+        used = [run.task.task_group.resource_request for run in self.runs.values() if run.instance == self.instance]
+        for resource_request in self.foreign.values():
+            used.append(
+                self.capacity if resource_request is None else resource_request
+            )  # of unknown size: it may be full
+        self.free_cpu = self.capacity.cpu - sum(resource_request.cpu for resource_request in used)
+        self.free_memory_mb = self.capacity.memory_mb - sum(resource_request.memory_mb for resource_request in used)
+        self.free_gpu = self.capacity.gpu - sum(resource_request.gpu for resource_request in used)
+
+    def fits(self, resource_request: ResourceRequest) -> bool:
         """Whether it has room for one more such task."""
-        return self.free_cpu >= demand.cpu and self.free_memory_mb >= demand.memory_mb and self.free_gpu >= demand.gpu
+        return (
+            self.free_cpu >= resource_request.cpu
+            and self.free_memory_mb >= resource_request.memory_mb
+            and self.free_gpu >= resource_request.gpu
+        )
 
-    def could_fit(self, demand: Demand) -> bool:
+    def could_fit(self, resource_request: ResourceRequest) -> bool:
         """Whether it would have room if it were empty."""
         capacity = self.capacity
-        return capacity.cpu >= demand.cpu and capacity.memory_mb >= demand.memory_mb and capacity.gpu >= demand.gpu
+        return (
+            capacity.cpu >= resource_request.cpu
+            and capacity.memory_mb >= resource_request.memory_mb
+            and capacity.gpu >= resource_request.gpu
+        )
 
-    def free_share_after(self, demand: Demand) -> float:
+    def free_share_after(self, resource_request: ResourceRequest) -> float:
         """The scarcest free share of its capacity once such a task is placed."""
         capacity = self.capacity
         share = 1.0
         if capacity.cpu:
-            share = (self.free_cpu - demand.cpu) / capacity.cpu
+            share = (self.free_cpu - resource_request.cpu) / capacity.cpu
         if capacity.memory_mb:
-            share = min(share, (self.free_memory_mb - demand.memory_mb) / capacity.memory_mb)
-        if capacity.gpu and demand.gpu:
-            share = min(share, (self.free_gpu - demand.gpu) / capacity.gpu)
+            share = min(share, (self.free_memory_mb - resource_request.memory_mb) / capacity.memory_mb)
+        if capacity.gpu and resource_request.gpu:
+            share = min(share, (self.free_gpu - resource_request.gpu) / capacity.gpu)
         return share
 
 
@@ -223,18 +233,18 @@
 
     workers: int = 0
     slots: int = 0
-    capacity: Demand = NOTHING  # of a mean worker
+    capacity: ResourceRequest = NOTHING  # of a mean worker
 
-    def share_of(self, demand: Demand) -> float:
+    def share_of(self, resource_request: ResourceRequest) -> float:
         """The largest share of a mean worker that such a task takes."""
         capacity = self.capacity
         share = 0.0
         if capacity.cpu:
-            share = demand.cpu / capacity.cpu
+            share = resource_request.cpu / capacity.cpu
         if capacity.memory_mb:
-            share = max(share, demand.memory_mb / capacity.memory_mb)
+            share = max(share, resource_request.memory_mb / capacity.memory_mb)
         if capacity.gpu:
-            share = max(share, demand.gpu / capacity.gpu)
+            share = max(share, resource_request.gpu / capacity.gpu)
         return share
 
 
@@ -243,7 +253,7 @@
     count = len(workers)
     if not count:
         return ServiceRoom()
-    mean = Demand(
+    mean = ResourceRequest(
         sum(worker.capacity.cpu for worker in workers) // count,
         sum(worker.capacity.memory_mb for worker in workers) // count,
         sum(worker.capacity.gpu for worker in workers) // count,
--- a/tests/system/scheduling_case.py
+++ b/tests/system/scheduling_case.py
@@ -10,7 +10,7 @@
 from msgspec import Struct
 
 from pipitledge.runtime.settings import Bounds
-from pipitledge.scheduling.context import Figures
+from pipitledge.scheduling.context import SchedulerTimings
 from pipitledge.scheduling.records import TASK_PREFIX
 from pipitledge.wire.codec import decode_record
 from pipitledge.wire.messages import (
@@ -30,12 +30,12 @@
     started,
 )
 
-WHOLE_CPU = 8_000  # all processors of a worker
-WHOLE_GPU = 4
+WORKER_CPU = 8_000  # all processors of a worker
+WORKER_GPU = 4
 ENDLESS_S = 600.0
-MANY_READINGS = 2_000  # of the time of day, in a second or two
-LAPSE_S = Figures(BOUNDS, HEARTBEAT_S).lapse_s
-GRANT_S = Figures(BOUNDS, HEARTBEAT_S).grant_ms / 1_000.0
+MAX_CLOCK_READINGS = 2_000  # of the time of day, in a second or two
+LEASE_EXPIRY_S = SchedulerTimings(BOUNDS, HEARTBEAT_S).lease_expiry_s
+GRANT_S = SchedulerTimings(BOUNDS, HEARTBEAT_S).grant_ms / 1_000.0
 JOB = job_id(1)
 OTHER = job_id(2)
 THIRD = job_id(3)
@@ -95,12 +95,12 @@
         self.cluster.run(0.05)
         self.assertEqual(200, status_of(replies))
 
-    def await_runs(self, job: str, count: int = 1, limit: float = 5.0) -> list[tuple[str, LiveRun]]:
+    def wait_for_runs(self, job: str, count: int = 1, limit: float = 5.0) -> list[tuple[str, LiveRun]]:
         """Let time pass until so many of a job's tasks run at once."""
-        self.await_that(lambda: len(self.cluster.runs_of(job)) >= count, limit)
+        self.wait_until(lambda: len(self.cluster.runs_of(job)) >= count, limit)
         return self.cluster.runs_of(job)
 
-    def await_that(self, condition: Callable[[], bool], limit: float) -> None:
+    def wait_until(self, condition: Callable[[], bool], limit: float) -> None:
         """Let time pass until something is so."""
         self.assertTrue(self.cluster.world.run_while(lambda: not condition(), limit), "did not come in time")
 
@@ -130,7 +130,7 @@
             if record.phase == TaskPhase.ASSIGNED and record.node == node
         )
 
-    def run_within_room(self, seconds: float) -> None:
+    def run_checking_capacity(self, seconds: float) -> None:
         """Let time pass; at no moment is more assigned to a worker than it has."""
         end = self.cluster.world.time + seconds
         while self.cluster.world.time < end:
@@ -140,6 +140,6 @@
 
     def finish(self, job: str, how: str) -> LiveRun:
         """End the one run of a job on its worker."""
-        node, live = self.await_runs(job)[0]
+        node, live = self.wait_for_runs(job)[0]
         self.cluster.worker(node).finish(live, how)
         return live
--- a/tests/system/scheduling_cluster.py
+++ b/tests/system/scheduling_cluster.py
@@ -18,7 +18,7 @@
 from pipitledge.emulator.cluster.deployment import HOST, WorkerPlan
 from pipitledge.emulator.cluster.worker import Gangs, LiveRun, ModelCalls, ModelWorker
 from pipitledge.runtime.settings import Bounds
-from pipitledge.scheduling.context import Figures, Node, Ports
+from pipitledge.scheduling.context import NodeIdentity, Ports, SchedulerTimings
 from pipitledge.scheduling.scheduler import Scheduler
 from pipitledge.wire.messages import AgentReport, CallKind, ClientCall, ClientReply, NotPrimary, View
 from tests.system.fake_replicator import FakeReplicator
@@ -26,7 +26,7 @@
 from tests.system.virtual import Machine, Process, World
 
 HEARTBEAT_S = 1.5
-LOOK_S = 0.02  # between two looks at a run's progress
+PROGRESS_INTERVAL_S = 0.02  # between two looks at a run's progress
 SERVICE = "render"
 URGENT = Route("urgent", HOST, "/urgent/", SERVICE, priority=0, max_attempts=3, stretch=1.5, target_latency_ms=500)
 PLAIN = Route("plain", HOST, "/plain/", SERVICE, priority=1, max_attempts=3, stretch=3.0, target_latency_ms=1_000)
@@ -73,13 +73,13 @@
         ports = Ports(
             process.clock, process.network, self.replicator, lambda: cluster.configuration, cluster.wall_ms, cluster.log
         )
-        me = Node(self.machine.name, self.machine.address)
+        me = NodeIdentity(self.machine.name, self.machine.address)
         addresses = [worker.node for worker in cluster.workers]
-        self.scheduler = Scheduler(ports, Figures(cluster.bounds, HEARTBEAT_S), me, lambda: addresses)
+        self.scheduler = Scheduler(ports, SchedulerTimings(cluster.bounds, HEARTBEAT_S), me, lambda: addresses)
         self.scheduler.register(process.handlers)
 
 
-class Events:
+class EventRecorder:
     """A log that keeps what is written."""
 
     def __init__(self) -> None:
@@ -92,7 +92,7 @@
         self.events.append((event, fields))
 
 
-class Views:
+class IgnoredViews:
     """Membership that needs no views."""
 
     def offer_view(self, view: View) -> None:
@@ -105,7 +105,7 @@
     def __init__(self, seed: int = 0, workers: int = 4, bounds: Bounds = BOUNDS, racks: int = 2) -> None:
         self.world = World(seed)
         self.bounds = bounds
-        self.log = Events()
+        self.log = EventRecorder()
         self.configuration: Configuration | None = Configuration(1, ROUTES, (Service(SERVICE),))
         self.state: dict[str, bytes] = {}
         self.term = 0
@@ -118,7 +118,7 @@
         self.wall_offset_ms = 0
         self._gangs = Gangs(self.world, self.judge, bounds.gang_ms / 1_000.0)
         self.agents: dict[str, Agent] = {}
-        self.cut_until: dict[str, float] = {}  # by node, when its link to others was last mended
+        self.disconnected_until: dict[str, float] = {}  # by node, when its link to others was last mended
         self.workers: list[ModelWorker] = []
         self._incarnations = 0
         for index in range(workers):
@@ -129,7 +129,7 @@
         kind, rack = labels
         plan = WorkerPlan(node, SERVICE, (kind, rack), "z1", {"cpu": cpu, "memoryLimitMb": 16_384, "gpu": gpu})
         worker = ModelWorker(self.world, plan, False, self.bounds, self.judge, self._gangs)
-        worker.look_every_s = LOOK_S
+        worker.look_every_s = PROGRESS_INTERVAL_S
         machine = self.world.machine(node)
         worker.agent = lambda: self.agents.get(node) if machine.running else None
         self.workers.append(worker)
@@ -143,7 +143,7 @@
             process.clock,
             ModelCalls(worker, process),
             PrimaryCalls(self, process),
-            Views(),
+            IgnoredViews(),
             self.bounds,
             identity,
             HEARTBEAT_S * 1_000.0,
@@ -153,22 +153,22 @@
         agent.register(process.handlers)
         agent.start()
 
-    def cut_agent(self, node: str, seconds: float) -> None:
+    def disconnect_agent(self, node: str, seconds: float) -> None:
         """Cut an agent off from the primary for a while."""
         self.world.network.isolate(node)
-        self.cut_until[node] = max(self.cut_until.get(node, 0.0), self.world.time + seconds)
+        self.disconnected_until[node] = max(self.disconnected_until.get(node, 0.0), self.world.time + seconds)
         self.world.after(seconds, self._mend)
 
     def _mend(self) -> None:
         """Mend the links whose time has come."""
         network = self.world.network
         for pair in sorted(network.cuts):
-            if all(self.world.time >= self.cut_until.get(node, 0.0) for node in pair):
+            if all(self.world.time >= self.disconnected_until.get(node, 0.0) for node in pair):
                 network.join(*pair)
 
-    def in_touch(self, node: str) -> bool:
+    def reachable(self, node: str) -> bool:
         """Whether nothing has been wrong with an agent's links of late."""
-        mended = self.cut_until.get(node)
+        mended = self.disconnected_until.get(node)
         return mended is None or self.world.time > mended + self.bounds.contact_ms / 1_000.0
 
     def live_workers(self) -> list[ModelWorker]:
@@ -228,13 +228,13 @@
         self.behaviours[job] = behaviour or Behaviour()
         return self.call(CallKind.SUBMIT, route.path_prefix + job, json.dumps(body).encode())
 
-    def submit_until_taken(self, job: str, body: dict[str, Any], route: Route, behaviour: Behaviour) -> None:
+    def submit_until_accepted(self, job: str, body: dict[str, Any], route: Route, behaviour: Behaviour) -> None:
         """Submit a job again and again, as clients do, until it is accepted."""
         replies = self.submit(job, body, route, behaviour)
 
         def look() -> None:
             if not any(isinstance(reply, ClientReply) and reply.status == 200 for reply in replies):
-                self.submit_until_taken(job, body, route, behaviour)
+                self.submit_until_accepted(job, body, route, behaviour)
 
         self.world.after(0.3, look)
 
--- a/tests/system/start_judge.py
+++ b/tests/system/start_judge.py
@@ -44,7 +44,7 @@
             return
         if live.saved and live.saved not in self.texts.get(self.owner(task), set()):
             self.note(f"UNASKED {task}: checkpoint {live.saved}")
-        timely = cluster.in_touch(worker.node) and not worker.taking_late
+        timely = cluster.reachable(worker.node) and not worker.taking_late
         if timely and cluster.cancelled.get(job, now) < now - cluster.bounds.cancel_ms / 1_000.0:
             self.note(f"UNASKED {task}: started {now - cluster.cancelled[job]:.2f} s after its cancelling")
         speculative = cluster.stage(task)["speculative"]
@@ -88,7 +88,7 @@
         late = (
             acknowledged is not None and self.cluster.world.time > acknowledged + self.cluster.bounds.drain_ms / 1_000.0
         )
-        if late and self.cluster.in_touch(worker.node) and not worker.taking_late:
+        if late and self.cluster.reachable(worker.node) and not worker.taking_late:
             self.note(f"DRAIN {task}")
 
     def ended(self, worker: ModelWorker, live: LiveRun, how: str) -> None:
--- a/tests/system/test_local_admission.py
+++ b/tests/system/test_local_admission.py
@@ -30,7 +30,7 @@
 from pipitledge.scheduling.admission_rule import LEAST_DEPTH, LONGEST_RETRY_MS, SHORTEST_RETRY_MS, share_of
 from pipitledge.scheduling.job import Stage
 from pipitledge.scheduling.objectives import LATE_FACTOR
-from pipitledge.scheduling.tasks import Demand, demand_of
+from pipitledge.scheduling.tasks import ResourceRequest, resource_request_of
 from pipitledge.scheduling.usage import USAGE_VALID_S
 from pipitledge.scheduling.workers import ServiceRoom
 from pipitledge.wire.messages import ClientReply, PullReply, Update
@@ -363,9 +363,9 @@
         for _ in range(200):
             cpu, memory, gpu = rng.choice([0, 8_000]), rng.choice([0, 16_384]), rng.choice([0, 4])
             stage = Stage(cpu=rng.randint(0, 9_000), memory_limit_mb=rng.randint(0, 20_000), gpu=rng.randint(0, 5))
-            room = ServiceRoom(4, 32, Demand(cpu, memory, gpu))
+            room = ServiceRoom(4, 32, ResourceRequest(cpu, memory, gpu))
             pool = PoolFigures(32.0, workers=4, cpu=cpu, memory_mb=memory, gpu=gpu)
-            self.assertEqual(share_of(stage, pool), room.share_of(demand_of(stage)))
+            self.assertEqual(share_of(stage, pool), room.share_of(resource_request_of(stage)))
 
     def test_ingress_loads_nothing_that_is_the_primarys_alone(self) -> None:
         program = "import sys, pipitledge.ingress.ingress; print(*sys.modules)"
--- a/tests/system/test_scheduling.py
+++ b/tests/system/test_scheduling.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Struct
 
-from pipitledge.scheduling.lifecycle import KEEP_FACTOR
+from pipitledge.scheduling.lifecycle import RETENTION_FACTOR
 from pipitledge.scheduling.records import JOB_PREFIX, job_key
 from pipitledge.wire.codec import decode_record
 from pipitledge.wire.messages import (
@@ -24,10 +24,10 @@
     ENDLESS_S,
     FIRST_TASK,
     JOB,
-    MANY_READINGS,
+    MAX_CLOCK_READINGS,
     OTHER,
     THIRD,
-    WHOLE_CPU,
+    WORKER_CPU,
     SchedulingCase,
     body,
     first_runs_fail,
@@ -135,9 +135,9 @@
 
     def test_states_follow_the_job(self) -> None:
         cluster = self.make(workers=1)
-        self.submit(JOB, body(stage(cpu=WHOLE_CPU)), 2.0)
-        self.submit(OTHER, body(stage(cpu=WHOLE_CPU)))
-        self.await_runs(JOB)
+        self.submit(JOB, body(stage(cpu=WORKER_CPU)), 2.0)
+        self.submit(OTHER, body(stage(cpu=WORKER_CPU)))
+        self.wait_for_runs(JOB)
         self.assertEqual(["running", "pending"], [cluster.ask(JOB), cluster.ask(OTHER)])
         count = cluster.call(CallKind.COUNT, PLAIN.path_prefix)
         cluster.run(0.05)
@@ -147,10 +147,10 @@
 
     def test_completed_is_shown_only_after_all_tasks_ended(self) -> None:
         cluster = self.make()
-        self.submit(JOB, body(stage(2, cpu=WHOLE_CPU)))
-        slow = self.await_runs(JOB, 2)[0][0]
+        self.submit(JOB, body(stage(2, cpu=WORKER_CPU)))
+        slow = self.wait_for_runs(JOB, 2)[0][0]
         cluster.worker(slow).set_speed(0.3)
-        self.await_that(lambda: len(self.ends_of(JOB, "done")) == 1, 3.0)
+        self.wait_until(lambda: len(self.ends_of(JOB, "done")) == 1, 3.0)
         cluster.run(0.7)
         self.assertEqual("running", cluster.ask(JOB))
         self.assert_completes(JOB)
@@ -159,9 +159,9 @@
     def test_completed_is_shown_only_after_it_is_committed(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage()))
-        self.await_runs(JOB)
+        self.wait_for_runs(JOB)
         self.primary.replicator.stalled = True
-        self.await_that(lambda: bool(self.ends_of(JOB, "done")), 3.0)
+        self.wait_until(lambda: bool(self.ends_of(JOB, "done")), 3.0)
         cluster.run(0.8)
         asked = cluster.call(CallKind.STATE, PLAIN.path_prefix + JOB)
         cluster.run(0.8)
@@ -182,7 +182,7 @@
         cluster.promote()
         cluster.run(0.5)
         self.assertEqual("completed", cluster.ask(JOB))
-        self.assertTrue(cluster.wait_for(JOB, "410", 2.0 * KEEP_FACTOR * bounds.status_s), cluster.ask(JOB))
+        self.assertTrue(cluster.wait_for(JOB, "410", 2.0 * RETENTION_FACTOR * bounds.status_s), cluster.ask(JOB))
         self.assertGreater(cluster.world.time - ended, bounds.status_s)
         cluster.run(0.1)
         self.assertNotIn(job_key(JOB), cluster.state)
@@ -194,7 +194,7 @@
     def test_running_tasks_are_stopped_and_nothing_starts_after(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(30, cpu=2_000), stage(2, dependsOn=[0])), 5.0)
-        self.await_runs(JOB, 16)
+        self.wait_for_runs(JOB, 16)
         cluster.cancel(JOB)
         cluster.run(0.1)
         before = len(self.starts_of(JOB))
@@ -222,9 +222,9 @@
     def test_a_new_primary_stops_what_was_cancelled(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(4)), ENDLESS_S)
-        self.await_runs(JOB, 4)
+        self.wait_for_runs(JOB, 4)
         replies = cluster.call(CallKind.CANCEL, PLAIN.path_prefix + JOB)
-        self.await_that(lambda: bool(replies), 1.0)
+        self.wait_until(lambda: bool(replies), 1.0)
         cluster.promote()
         cluster.run(3.0)
         self.assertEqual([], cluster.runs_of(JOB))
@@ -241,8 +241,8 @@
         begun = {task: time for time, task, *_ in self.starts_of(JOB)}
         ended = {task: time for time, task, *_ in self.ends_of(JOB, "done")}
 
-        def of(times: dict[str, float], *steps: int) -> list[float]:
-            return [time for task, time in times.items() if int(task.split(".")[2]) in steps]
+        def of(times: dict[str, float], *stages: int) -> list[float]:
+            return [time for task, time in times.items() if int(task.split(".")[2]) in stages]
 
         self.assertEqual(8, len(begun))
         self.assertGreater(min(of(begun, 2)), max(of(ended, 0, 1)))
@@ -284,7 +284,7 @@
                 start_ms = cluster.wall_ms() + 600
                 self.submit(JOB, body(stage(), startAtMs=start_ms, intervalMs=60_000, repeatCount=2), 0.2)
                 context = self.primary.scheduler.context
-                wall = JumpingWall(cluster.wall_ms, reading)
+                wall = JumpingClock(cluster.wall_ms, reading)
                 context.ports = msgspec.structs.replace(context.ports, wall_ms=wall)
                 cluster.run(1.5)
                 self.assertGreater(wall.readings, reading)
@@ -292,7 +292,7 @@
                 self.assertGreaterEqual(1_700_000_000_000 + self.starts_of(JOB)[0][0] * 1_000.0, start_ms)
 
 
-class JumpingWall:
+class JumpingClock:
     """A time of day of which one reading is far ahead."""
 
     def __init__(self, wall_ms: Callable[[], int], reading: int) -> None:
@@ -303,7 +303,7 @@
     def __call__(self) -> int:
         """The next reading."""
         self.readings += 1
-        if self.readings > MANY_READINGS:
+        if self.readings > MAX_CLOCK_READINGS:
             raise AssertionError("the clock is read without end")
         return self._wall_ms() + (10_000 if self.readings == self._reading else 0)
 
@@ -332,7 +332,7 @@
     def test_no_more_tasks_of_a_step_run_on_one_worker_than_it_allows(self) -> None:
         self.make(workers=3)
         self.submit(JOB, body(stage(7, cpu=100, antiAffinity=2)), 1.5)
-        self.await_runs(JOB, 6)
+        self.wait_for_runs(JOB, 6)
         self.cluster.run(0.7)
         self.assertEqual(["w0", "w0", "w1", "w1", "w2", "w2"], sorted(node for node, _ in self.cluster.runs_of(JOB)))
         self.assert_completes(JOB)
@@ -345,10 +345,10 @@
 
     def test_a_task_goes_far_where_there_is_no_room_near_by(self) -> None:
         self.make()
-        self.submit(OTHER, body(stage(2, cpu=WHOLE_CPU, nodeSelector="r1-1")), ENDLESS_S)
-        self.await_runs(OTHER, 2)
+        self.submit(OTHER, body(stage(2, cpu=WORKER_CPU, nodeSelector="r1-1")), ENDLESS_S)
+        self.wait_for_runs(OTHER, 2)
         self.submit(JOB, body(stage(affinity="r1-1")))
-        self.await_runs(JOB, limit=1.5)
+        self.wait_for_runs(JOB, limit=1.5)
         self.assertIn(self.nodes_of(JOB)[0], ("w0", "w2"))
 
     def test_a_gang_of_one_rack_is_not_spread(self) -> None:
@@ -366,9 +366,9 @@
 
     def test_all_start_at_once_under_one_number(self) -> None:
         cluster = self.make()
-        self.submit(OTHER, body(stage(cpu=WHOLE_CPU)), 2.0)
-        self.await_runs(OTHER)
-        self.submit(JOB, body(stage(4, cpu=WHOLE_CPU, gang=True)))
+        self.submit(OTHER, body(stage(cpu=WORKER_CPU)), 2.0)
+        self.wait_for_runs(OTHER)
+        self.submit(JOB, body(stage(4, cpu=WORKER_CPU, gang=True)))
         cluster.run(1.0)
         self.assertEqual([], self.starts_of(JOB), "a part of it started")
         self.assert_completes(JOB)
@@ -379,7 +379,7 @@
 
     def test_one_that_never_fits_does_not_start(self) -> None:
         cluster = self.make()
-        self.submit(JOB, body(stage(5, cpu=WHOLE_CPU, gang=True)))
+        self.submit(JOB, body(stage(5, cpu=WORKER_CPU, gang=True)))
         cluster.run(3.0)
         self.assertEqual([], self.starts_of(JOB))
         self.assertEqual("pending", cluster.ask(JOB))
@@ -401,27 +401,27 @@
 
     def test_one_end_counts_for_all(self) -> None:
         cluster = self.make()
-        self.submit(JOB, body(stage(3, cpu=WHOLE_CPU, gang=True), stage(1, dependsOn=[0])), 1.5)
-        node = self.await_runs(JOB, 3)[0][0]
+        self.submit(JOB, body(stage(3, cpu=WORKER_CPU, gang=True), stage(1, dependsOn=[0])), 1.5)
+        node = self.wait_for_runs(JOB, 3)[0][0]
         cluster.run(0.4)
-        cluster.cut_agent(node, 6.0)
+        cluster.disconnect_agent(node, 6.0)
         self.assert_completes(JOB, 5.0)
-        self.assertLess(cluster.world.time, cluster.cut_until[node])
+        self.assertLess(cluster.world.time, cluster.disconnected_until[node])
         self.assertEqual(4, len(self.starts_of(JOB)))
         cluster.run(9.0)
         self.assertEqual(4, len(self.starts_of(JOB)))
 
     def test_room_of_a_settled_member_is_held_until_its_end_is_known(self) -> None:
         cluster = self.make()
-        self.submit(JOB, body(stage(3, cpu=WHOLE_CPU, gang=True)), 1.5)
-        node = self.await_runs(JOB, 3)[0][0]
+        self.submit(JOB, body(stage(3, cpu=WORKER_CPU, gang=True)), 1.5)
+        node = self.wait_for_runs(JOB, 3)[0][0]
         cluster.run(0.4)
-        cluster.cut_agent(node, 6.0)
+        cluster.disconnect_agent(node, 6.0)
         self.assert_completes(JOB, 5.0)
         known = self.primary.scheduler.context.workers[node]
         self.assertEqual(0, known.free_cpu)
         cluster.run(9.0)
-        self.assertEqual(WHOLE_CPU, known.free_cpu)
+        self.assertEqual(WORKER_CPU, known.free_cpu)
 
     def test_it_starts_again_only_when_all_of_it_is_over(self) -> None:
         cluster = self.make()
@@ -431,11 +431,11 @@
             3.0,
             fails=lambda task, run, node: run == 1 and task == FIRST_TASK,
         )
-        runs = self.await_runs(JOB, 3)
+        runs = self.wait_for_runs(JOB, 3)
         node = next(node for node, live in runs if live.task != FIRST_TASK)
         cluster.run(0.4)
-        cluster.cut_agent(node, 4.0)
-        mended = cluster.cut_until[node]
+        cluster.disconnect_agent(node, 4.0)
+        mended = cluster.disconnected_until[node]
         self.assert_completes(JOB)
         again = [start for start in self.starts_of(JOB) if start[2] == 2]
         self.assertEqual(3, len(again))
@@ -457,12 +457,12 @@
     def test_a_lasting_task_is_restarted_until_it_is_cancelled(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(longRunning=True)), 1.0, fails=first_runs_fail(PLAIN.max_attempts + 1))
-        self.await_that(lambda: len(self.starts_of(JOB)) == PLAIN.max_attempts + 2, 20.0)
+        self.wait_until(lambda: len(self.starts_of(JOB)) == PLAIN.max_attempts + 2, 20.0)
         for how in ("failed", "lapsed", "stopped"):
             before = len(self.starts_of(JOB))
             cluster.run(4.0)
             self.finish(JOB, how)
-            self.await_that(lambda before=before: len(self.starts_of(JOB)) == before + 1, 6.0)  # type: ignore[misc]
+            self.wait_until(lambda before=before: len(self.starts_of(JOB)) == before + 1, 6.0)  # type: ignore[misc]
             self.assertEqual("running", cluster.ask(JOB))
         cluster.cancel(JOB)
         cluster.run(1.0)
@@ -512,7 +512,7 @@
         cluster = self.make()
         self.submit(JOB, body(stage(checkpoints=True)), 2.0)
         self.submit(OTHER, body(stage()), 2.0)
-        self.await_runs(JOB)
+        self.wait_for_runs(JOB)
         cluster.run(1.2)
         saved = self.finish(JOB, "lapsed").saved
         self.finish(OTHER, "lapsed")
@@ -526,12 +526,12 @@
         cluster = self.make(workers=1)
         self.submit(OTHER, body(stage(cpu=1_000)), ENDLESS_S)
         self.submit(JOB, body(stage(cpu=7_000, checkpoints=True)), 2.0)
-        self.await_runs(JOB)
+        self.wait_for_runs(JOB)
         cluster.run(1.2)
         node, live = cluster.runs_of(JOB)[0]
         self.submit(THIRD, body(stage(cpu=7_000)), 1.0, URGENT)  # it goes first
         cluster.worker(node).finish(live, "lapsed")
-        self.await_runs(THIRD)
+        self.wait_for_runs(THIRD)
         cluster.promote()
         self.assert_completes(JOB)
         self.assertTrue(live.saved)
@@ -542,9 +542,9 @@
         worker = cluster.workers[0]
         self.submit(OTHER, body(stage()), ENDLESS_S)  # so that its list is asked for all the time
         self.submit(JOB, body(stage()))
-        self.await_runs(JOB)
+        self.wait_for_runs(JOB)
         self.primary.replicator.stalled = True
-        self.await_that(lambda: bool(self.ends_of(JOB, "done")), 3.0)
+        self.wait_until(lambda: bool(self.ends_of(JOB, "done")), 3.0)
         cluster.run(3.0)
         self.assertEqual([FIRST_TASK], [end.task for end in worker.life.ends])
         self.assertNotIn(FIRST_TASK, cluster.judge.noted_done)
--- a/tests/system/test_scheduling_random.py
+++ b/tests/system/test_scheduling_random.py
@@ -93,7 +93,7 @@
         if lasts:
             self.lasting.add(job)
             body["stages"][-1].update(longRunning=True, count=1, cpu=500, gpu=0, gang=False)
-        cluster.submit_until_taken(job, body, route, random_behaviour(self.random, poison))
+        cluster.submit_until_accepted(job, body, route, random_behaviour(self.random, poison))
         if not lasts and self.random.random() < 0.1:
             self.cancelled.add(job)
             cluster.world.after(self.random.uniform(0.2, 3.0), lambda: cluster.cancel(job))
@@ -142,7 +142,7 @@
 
     def _agent_cut(self) -> None:
         node = self.random.choice(self.cluster.workers).node
-        self.cluster.cut_agent(node, self.random.uniform(0.5, 9.0))
+        self.cluster.disconnect_agent(node, self.random.uniform(0.5, 9.0))
 
     def _agent_killed(self) -> None:
         machine = self.cluster.world.machines[self.random.choice(self.cluster.workers).node]
--- a/tests/system/test_scheduling_reports.py
+++ b/tests/system/test_scheduling_reports.py
@@ -10,11 +10,11 @@
 
 from pipitledge.configuration.model import Configuration, Service
 from pipitledge.runtime.handlers import Handlers
-from pipitledge.scheduling.context import Figures, Node, Ports
+from pipitledge.scheduling.context import NodeIdentity, Ports, SchedulerTimings
 from pipitledge.scheduling.job import Submission, parse_submission
 from pipitledge.scheduling.placement import Ranking, Seeker
 from pipitledge.scheduling.scheduler import Scheduler
-from pipitledge.scheduling.tasks import Demand, Job, Run, Step, new_step
+from pipitledge.scheduling.tasks import Job, ResourceRequest, Run, TaskGroup, new_task_group
 from pipitledge.scheduling.workers import Worker
 from pipitledge.wire.codec import decode_record, encode_record
 from pipitledge.wire.messages import (
@@ -36,7 +36,7 @@
     WorkerInfo,
     Write,
 )
-from tests.system.scheduling_cluster import BOUNDS, HEARTBEAT_S, HOST, PLAIN, ROUTES, SERVICE, Events, job_id
+from tests.system.scheduling_cluster import BOUNDS, HEARTBEAT_S, HOST, PLAIN, ROUTES, SERVICE, EventRecorder, job_id
 from tests.system.virtual import World
 
 TERM = 3
@@ -81,11 +81,11 @@
         machine = self.world.machine("p")
         self.handlers = Handlers()
         self.replicator = ImmediateReplicator()
-        self.told: list[AgentOrders] = []  # pushed, or as answers
+        self.sent_orders: list[AgentOrders] = []  # pushed, or as answers
         machine.start(lambda process: None)
         assert machine.process is not None
         agent = self.world.machine("w")
-        agent.start(lambda process: process.handlers.on_call(AgentOrders, self.take_push))
+        agent.start(lambda process: process.handlers.on_call(AgentOrders, self.record_push))
         self.configuration = Configuration(1, ROUTES, (Service(SERVICE),))
         ports = Ports(
             machine.process.clock,
@@ -93,7 +93,7 @@
             self.replicator,
             lambda: self.configuration,
             machine.process.clock.wall_ms,
-            Events(),
+            EventRecorder(),
         )
         self.ports = ports
         self.numbers: dict[int, int] = {}
@@ -101,7 +101,7 @@
 
     def lead(self, state: dict[str, bytes]) -> None:
         """A scheduler that knows nothing but replicated state takes over."""
-        self.scheduler = Scheduler(self.ports, Figures(BOUNDS, HEARTBEAT_S), Node("p", "p"))
+        self.scheduler = Scheduler(self.ports, SchedulerTimings(BOUNDS, HEARTBEAT_S), NodeIdentity("p", "p"))
         self.scheduler.register(self.handlers)
         self.scheduler.activated(self.replicator.term, state)
 
@@ -111,8 +111,8 @@
         self.replicator.term += 1
         self.lead(dict(self.replicator.state))
 
-    def take_push(self, orders: AgentOrders, reply: Callable[[Struct], None]) -> None:
-        self.told.append(orders)
+    def record_push(self, orders: AgentOrders, reply: Callable[[Struct], None]) -> None:
+        self.sent_orders.append(orders)
         reply(OrdersReply(True, TERM))
 
     def report(
@@ -155,7 +155,7 @@
         self.world.run_for(0.05)
         (answer,) = answers
         if isinstance(answer, AgentOrders):
-            self.told.append(answer)
+            self.sent_orders.append(answer)
         self.answer = answer
 
     def submit(self, cpu: int = 1_000) -> None:
@@ -166,12 +166,12 @@
 
     def started(self) -> list[tuple[str, int]]:
         """Starts that were ordered, each once."""
-        orders = [(start.task, start.run) for orders in self.told for start in orders.starts]
+        orders = [(start.task, start.run) for orders in self.sent_orders for start in orders.starts]
         return list(dict.fromkeys(orders))
 
     def stopped(self) -> list[tuple[str, int]]:
         """Stops that were ordered, each once."""
-        orders = [(stop.task, stop.run) for orders in self.told for stop in orders.stops]
+        orders = [(stop.task, stop.run) for orders in self.sent_orders for stop in orders.stops]
         return list(dict.fromkeys(orders))
 
     def phase(self) -> TaskPhase:
@@ -427,13 +427,13 @@
     def test_a_ranking_knows_of_room_that_others_took_since(self) -> None:
         submission = {"spec": "s", "stages": [{"count": 2, "cpu": 3_000}]}
         step = _step(json.dumps(submission).encode())
-        worker = Worker("w", capacity=Demand(CPU, 1_000, 0))
+        worker = Worker("w", capacity=ResourceRequest(CPU, 1_000, 0))
         worker.instance = "i-1"
         worker.recount()
         ranking = Ranking(Seeker(step, (0, 0, 0.0, 0, 0, 0), 0.0), [worker])
         self.assertIs(worker, ranking.best())
         run = Run(step.tasks[0], 1, "w", "i-1", 0.0)
-        worker.add(run, step.demand)
+        worker.add(run, step.resource_request)
         self.assertIsNone(ranking.best())
 
 
@@ -441,11 +441,11 @@
     """Nobody waits for this commit."""
 
 
-def _step(body: bytes) -> Step:
+def _step(body: bytes) -> TaskGroup:
     submission = parse_submission(body)
     assert isinstance(submission, Submission)
     job = Job(JOB, "plain", SERVICE, submission, body, 0, 1, 0.0, PLAIN)
-    return new_step(job, 0, 0)
+    return new_task_group(job, 0, 0)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_scheduling_workers.py
+++ b/tests/system/test_scheduling_workers.py
@@ -17,11 +17,11 @@
 from tests.system.scheduling_case import (
     ENDLESS_S,
     JOB,
-    LAPSE_S,
+    LEASE_EXPIRY_S,
     OTHER,
     THIRD,
-    WHOLE_CPU,
-    WHOLE_GPU,
+    WORKER_CPU,
+    WORKER_GPU,
     SchedulingCase,
     body,
     first_runs_fail,
@@ -43,10 +43,10 @@
     def test_a_run_that_is_being_stopped_holds_its_room(self) -> None:
         cluster = self.make(workers=1, bounds=msgspec.structs.replace(BOUNDS, stop_ms=2_000.0))
         self.submit(JOB, body(stage(2, cpu=4_000)), ENDLESS_S)
-        self.await_runs(JOB, 2)
-        self.submit(OTHER, body(stage(cpu=WHOLE_CPU)))
+        self.wait_for_runs(JOB, 2)
+        self.submit(OTHER, body(stage(cpu=WORKER_CPU)))
         cluster.cancel(JOB)
-        self.run_within_room(4.0)
+        self.run_checking_capacity(4.0)
         self.assert_completes(OTHER)
         stopped = self.ends_of(JOB, "stopped")
         self.assertEqual(2, len(stopped))
@@ -58,13 +58,13 @@
                 cluster = self.make(workers=1, seed=seed)
                 worker = cluster.workers[0]
                 worker.unanswered = 1.0
-                self.submit(JOB, body(stage(cpu=WHOLE_CPU)), ENDLESS_S)
+                self.submit(JOB, body(stage(cpu=WORKER_CPU)), ENDLESS_S)
                 cluster.run(0.8)
                 cluster.cancel(JOB)
-                self.submit(OTHER, body(stage(2, cpu=WHOLE_CPU)), 0.5)
-                self.run_within_room(1.5)
+                self.submit(OTHER, body(stage(2, cpu=WORKER_CPU)), 0.5)
+                self.run_checking_capacity(1.5)
                 worker.unanswered = 0.3
-                self.run_within_room(8.0)
+                self.run_checking_capacity(8.0)
                 worker.unanswered = 0.0
                 self.assert_completes(OTHER)
 
@@ -73,8 +73,8 @@
         self.submit(JOB, body(stage(9, cpu=3_000), stage(5, cpu=100, gpu=2)), 1.0)
         cluster.run(0.5)
         nodes = [node for node, live in cluster.runs_of(JOB) if live.task.startswith(f"{JOB}.0.1")]
-        self.assertEqual(2 * (WHOLE_GPU // 2), len(nodes), "as many as the GPUs allow")
-        self.run_within_room(2.0)
+        self.assertEqual(2 * (WORKER_GPU // 2), len(nodes), "as many as the GPUs allow")
+        self.run_checking_capacity(2.0)
         self.assert_completes(JOB)
         self.assertEqual(14, len(self.starts_of(JOB)))
 
@@ -84,8 +84,8 @@
 
     def test_a_new_life_ends_the_runs_of_the_old_one(self) -> None:
         cluster = self.make(workers=1)
-        self.submit(JOB, body(stage(cpu=WHOLE_CPU)), 2.0)
-        self.await_runs(JOB)
+        self.submit(JOB, body(stage(cpu=WORKER_CPU)), 2.0)
+        self.wait_for_runs(JOB)
         crashed = cluster.world.time
         cluster.workers[0].crash(0.4)
         self.assert_completes(JOB)
@@ -94,8 +94,8 @@
 
     def test_a_new_life_that_a_new_agent_tells_of_ends_them_too(self) -> None:
         cluster = self.make(workers=1)
-        self.submit(JOB, body(stage(cpu=WHOLE_CPU)), 2.0)
-        self.await_runs(JOB)
+        self.submit(JOB, body(stage(cpu=WORKER_CPU)), 2.0)
+        self.wait_for_runs(JOB)
         crashed = cluster.world.time
         machine = cluster.world.machines["w0"]
         machine.kill()  # nobody is left who knew the old life
@@ -105,62 +105,62 @@
             machine.start()
 
         cluster.world.after(0.8, start_agent)
-        self.await_that(lambda: len(self.starts_of(JOB)) == 2, LAPSE_S)
+        self.wait_until(lambda: len(self.starts_of(JOB)) == 2, LEASE_EXPIRY_S)
         self.assertLess(self.starts_of(JOB)[1][0], crashed + 6.0)
         self.assert_completes(JOB)
 
     def test_a_silent_workers_runs_start_elsewhere_once_they_have_lapsed(self) -> None:
         cluster = self.make()
-        self.submit(JOB, body(stage(2, cpu=WHOLE_CPU)), 20.0)
-        node, live = self.await_runs(JOB, 2)[0]
+        self.submit(JOB, body(stage(2, cpu=WORKER_CPU)), 20.0)
+        node, live = self.wait_for_runs(JOB, 2)[0]
         cluster.run(1.0)
         cut = cluster.world.time
         cluster.worker(node).dark = True
-        self.await_that(lambda: len(self.starts_of(JOB)) == 3, LAPSE_S)
+        self.wait_until(lambda: len(self.starts_of(JOB)) == 3, LEASE_EXPIRY_S)
         begun, task, run, elsewhere, _ = self.starts_of(JOB)[2]
         self.assertEqual((live.task, 2), (task, run))
         self.assertNotEqual(node, elsewhere)
         lapsed = self.ends_of(JOB, "lapsed")
         self.assertEqual([live.task], [end[1] for end in lapsed])
         self.assertGreater(begun, lapsed[0][0])
-        self.assertLess(begun, cut + LAPSE_S - 2.0, "only the primary's own reckoning")
+        self.assertLess(begun, cut + LEASE_EXPIRY_S - 2.0, "only the primary's own reckoning")
         self.assert_completes(JOB, 60.0)
         self.assertEqual(3, len(self.starts_of(JOB)))
 
     def test_a_worker_out_of_touch_lapses_only_after_the_grant(self) -> None:
         cluster = self.make()
-        self.submit(JOB, body(stage(2, cpu=WHOLE_CPU)), 30.0)
-        node, live = self.await_runs(JOB, 2)[0]
+        self.submit(JOB, body(stage(2, cpu=WORKER_CPU)), 30.0)
+        node, live = self.wait_for_runs(JOB, 2)[0]
         cluster.run(1.0)
         cut = cluster.world.time
-        cluster.cut_agent(node, 60.0)
-        self.await_that(lambda: len(self.starts_of(JOB)) == 3, LAPSE_S + 2.0)
+        cluster.disconnect_agent(node, 60.0)
+        self.wait_until(lambda: len(self.starts_of(JOB)) == 3, LEASE_EXPIRY_S + 2.0)
         begun, task, _, elsewhere, _ = self.starts_of(JOB)[2]
         self.assertEqual(live.task, task)
         self.assertNotEqual(node, elsewhere)
-        self.assertGreater(begun, cut - 1.5 + LAPSE_S)
+        self.assertGreater(begun, cut - 1.5 + LEASE_EXPIRY_S)
         self.assertGreater(begun, self.ends_of(JOB, "lapsed")[0][0])
         cluster.run(1.0)
         self.assertEqual([live.task], [end[1] for end in self.ends_of(JOB, "lapsed")])
 
     def test_a_new_primary_reckons_with_the_whole_grant(self) -> None:
         cluster = self.make()
-        self.submit(JOB, body(stage(cpu=WHOLE_CPU)), 30.0)
-        node, _ = self.await_runs(JOB)[0]
+        self.submit(JOB, body(stage(cpu=WORKER_CPU)), 30.0)
+        node, _ = self.wait_for_runs(JOB)[0]
         cluster.run(0.5)
-        cluster.cut_agent(node, 60.0)
+        cluster.disconnect_agent(node, 60.0)
         cluster.run(3.0)
         cluster.promote()
         cluster.world.network.cut(node, self.primary.machine.name)
         promoted = cluster.world.time
-        self.await_that(lambda: len(self.starts_of(JOB)) == 2, LAPSE_S + 2.0)
-        self.assertGreater(self.starts_of(JOB)[1][0], promoted + LAPSE_S)
+        self.wait_until(lambda: len(self.starts_of(JOB)) == 2, LEASE_EXPIRY_S + 2.0)
+        self.assertGreater(self.starts_of(JOB)[1][0], promoted + LEASE_EXPIRY_S)
 
     def test_a_draining_worker_gets_nothing_new(self) -> None:
         cluster = self.make()
         worker = cluster.workers[0]
         self.submit(JOB, body(stage(4, cpu=2_000)), 1.0)
-        self.await_runs(JOB, 4)
+        self.wait_for_runs(JOB, 4)
         worker.drain(4.0)
         cluster.run(0.1)
         drained = cluster.world.time
@@ -179,7 +179,7 @@
     def test_nothing_starts_twice_and_everything_goes_on(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(24, cpu=2_000), stage(2, gang=True, dependsOn=[0])), 1.5)
-        self.await_runs(JOB, 16)
+        self.wait_for_runs(JOB, 16)
         cluster.run(0.5)
         cluster.promote()
         self.assert_completes(JOB)
@@ -191,7 +191,7 @@
             with self.subTest(step=step):
                 cluster = self.make(seed=step)
                 replies = cluster.submit(JOB, body(stage(3), stage(2, dependsOn=[0])), PLAIN, Behaviour(0.3))
-                self.await_that(lambda replies=replies: bool(replies), 1.0)  # type: ignore[misc]
+                self.wait_until(lambda replies=replies: bool(replies), 1.0)  # type: ignore[misc]
                 cluster.run(0.002 + 0.004 * step if step < 6 else 0.25 + 0.03 * step)
                 cluster.promote()
                 self.assert_completes(JOB)
@@ -206,7 +206,7 @@
             (self.primary.machine.name, worker.node): 5.0 for worker in cluster.workers
         }
         self.submit(OTHER, body(stage()), 0.5)
-        self.await_that(lambda: any(name.startswith(OTHER) for name, _ in self.records()), 1.0)
+        self.wait_until(lambda: any(name.startswith(OTHER) for name, _ in self.records()), 1.0)
         self.assertFalse(replicator.stalled)
         cluster.promote()
         self.assert_completes(OTHER)
@@ -274,7 +274,7 @@
         bad = cluster.workers[0]
         bad.fails_all = True
         jobs = self.submit_many(100, 40)
-        self.await_that(lambda: ("worker_avoided", bad.node) in self.avoidances(), 5.0)
+        self.wait_until(lambda: ("worker_avoided", bad.node) in self.avoidances(), 5.0)
         avoided = cluster.world.time
         cluster.run(0.1)
         cluster.run(FIRST_AVOIDANCE_S - 0.2)
@@ -284,7 +284,7 @@
         bad.fails_all = False
         jobs += self.submit_many(200, 60)
         cluster.run(1.0)
-        self.await_that(lambda: len(bad.life.running) == 2, 8.0)
+        self.wait_until(lambda: len(bad.life.running) == 2, 8.0)
         tries = [start[0] for start in cluster.judge.starts if start[3] == bad.node and start[0] > avoided + 0.1]
         self.assertGreater(tries[1], tries[0] + 0.4, "it was tried with one task at a time")
         for job in jobs:
@@ -312,8 +312,8 @@
     def fill_first_of(self, workers: int) -> str:
         """Let one worker be full; its name."""
         self.make(workers=workers)
-        self.submit(JOB, body(stage(cpu=WHOLE_CPU)), 20.0)
-        return self.await_runs(JOB)[0][0]
+        self.submit(JOB, body(stage(cpu=WORKER_CPU)), 20.0)
+        return self.wait_for_runs(JOB)[0][0]
 
     def spoil_all_but(self, node: str, spoil: Callable[[Health, float], None]) -> None:
         """Have all other workers left out for a long time."""
@@ -329,8 +329,8 @@
                 health.note_pace(0.05, now + 60.0)
 
         self.spoil_all_but(self.fill_first_of(3), slow)
-        self.submit(OTHER, body(stage(2, cpu=WHOLE_CPU, gang=True)))
-        self.await_runs(OTHER, 2, limit=2.5)
+        self.submit(OTHER, body(stage(2, cpu=WORKER_CPU, gang=True)))
+        self.wait_for_runs(OTHER, 2, limit=2.5)
 
     def test_a_job_runs_though_the_only_room_is_on_avoided_workers(self) -> None:
         def avoid(health: Health, now: float) -> None:
@@ -338,28 +338,28 @@
             health.on_trial = True
 
         self.spoil_all_but(self.fill_first_of(3), avoid)
-        self.submit(OTHER, body(stage(cpu=WHOLE_CPU)))
-        self.await_runs(OTHER, limit=2.5)
+        self.submit(OTHER, body(stage(cpu=WORKER_CPU)))
+        self.wait_for_runs(OTHER, limit=2.5)
 
     def test_a_job_runs_though_idle_workers_are_kept_free_for_another(self) -> None:
         cluster = self.make(workers=3)
         self.submit(JOB, body(stage(cpu=2_000, gpu=1)), 20.0)
-        self.submit(OTHER, body(stage(3, cpu=WHOLE_CPU, gang=True)), 5.0, URGENT)
+        self.submit(OTHER, body(stage(3, cpu=WORKER_CPU, gang=True)), 5.0, URGENT)
         cluster.run(1.5)  # the gang keeps all workers free, and one of them is in use for long
         claimed = [worker for worker in self.primary.scheduler.context.workers.values() if worker.claim is not None]
         self.assertEqual(3, len(claimed))
         self.submit(THIRD, body(stage(cpu=1_000)))
-        self.await_runs(THIRD, limit=2.5)
+        self.wait_for_runs(THIRD, limit=2.5)
 
     def test_a_job_does_not_wait_longer_for_room_near_its_data(self) -> None:
         cluster = self.make(workers=4)
         rack = cluster.workers[0].plan.labels[-1]
         near = [worker for worker in cluster.workers if rack in worker.plan.labels]
         self.assertLess(len(near), 4)
-        self.submit(JOB, body(stage(len(near), cpu=WHOLE_CPU, affinity=rack)), 60.0)
-        self.await_runs(JOB, len(near))
-        self.submit(OTHER, body(stage(cpu=WHOLE_CPU, affinity=rack)), 60.0)
-        self.await_runs(OTHER, limit=2.6)
+        self.submit(JOB, body(stage(len(near), cpu=WORKER_CPU, affinity=rack)), 60.0)
+        self.wait_for_runs(JOB, len(near))
+        self.submit(OTHER, body(stage(cpu=WORKER_CPU, affinity=rack)), 60.0)
+        self.wait_for_runs(OTHER, limit=2.6)
 
     def test_a_lasting_task_that_ends_again_and_again_is_soon_tried_again(self) -> None:
         self.make(workers=2)
@@ -367,12 +367,12 @@
         for _ in range(8):
             before = len(self.starts_of(JOB))
             self.finish(JOB, "failed")
-            self.await_that(lambda before=before: len(self.starts_of(JOB)) > before, 2.6)  # type: ignore[misc]
+            self.wait_until(lambda before=before: len(self.starts_of(JOB)) > before, 2.6)  # type: ignore[misc]
 
     def test_where_most_is_in_use_avoided_workers_are_left_alone(self) -> None:
         cluster = self.make(workers=3)
-        self.submit(JOB, body(stage(2, cpu=WHOLE_CPU)), 20.0)
-        busy = {node for node, _ in self.await_runs(JOB, 2)}
+        self.submit(JOB, body(stage(2, cpu=WORKER_CPU)), 20.0)
+        busy = {node for node, _ in self.wait_for_runs(JOB, 2)}
         context = self.primary.scheduler.context
         for worker in context.workers.values():
             if worker.node not in busy:
--- a/tests/system/test_system_cli.py
+++ b/tests/system/test_system_cli.py
@@ -650,7 +650,7 @@
         self.assertEqual((row["freeCpu"], row["cpu"]), (0, 8_000))
 
     def test_a_worker_that_is_out_of_touch(self) -> None:
-        self.cluster.cut_agent("w0", 4.0)
+        self.cluster.disconnect_agent("w0", 4.0)
         self.cluster.run(3.0)
         [row] = rows_of(node_status.workers_section(self.context, self.membership), "workers")
         self.assertEqual(row["state"], "out of touch")
--- a/tests/system/whole_system_mutants.py
+++ b/tests/system/whole_system_mutants.py
@@ -16,10 +16,10 @@
 from pipitledge.emulator.cluster.auditor import Breach
 from pipitledge.replication.primary import Primary
 from pipitledge.runtime.handlers import Reply
-from pipitledge.scheduling.calls import Answer, ClientCalls
-from pipitledge.scheduling.context import Figures
+from pipitledge.scheduling.calls import Answer, ClientCallHandler
+from pipitledge.scheduling.context import SchedulerTimings
 from pipitledge.scheduling.lifecycle import Lifecycle
-from pipitledge.scheduling.reports import Reports
+from pipitledge.scheduling.reports import ReportHandler
 from pipitledge.scheduling.workers import Worker
 from pipitledge.wire.messages import AgentOrders, OperatorReply
 
@@ -41,25 +41,25 @@
 def _ends_acknowledged_at_once() -> list[Any]:
     """An end is acknowledged to the worker before it is in replicated state."""
 
-    def answer(self: Reports, worker: Worker, report: Any, reply: Any, now: float) -> None:
+    def answer(self: ReportHandler, worker: Worker, report: Any, reply: Any, now: float) -> None:
         worker.acknowledged = worker.ends_seen
         reply(self._orders.answer(worker, report))
 
-    return [mock.patch.object(Reports, "_answer_when_committed", answer)]
+    return [mock.patch.object(ReportHandler, "_answer_when_committed", answer)]
 
 
 def _clients_answered_at_once() -> list[Any]:
     """A client is told "accepted" before the job is in replicated state."""
 
-    def send(self: ClientCalls, answer: Answer, reply: Reply) -> None:
+    def send(self: ClientCallHandler, answer: Answer, reply: Reply) -> None:
         reply(answer.reply)
 
-    return [mock.patch.object(ClientCalls, "_when_committed", send)]
+    return [mock.patch.object(ClientCallHandler, "_when_committed", send)]
 
 
 def _no_lapse_wait() -> list[Any]:
     """What a worker out of reach runs counts as over at once."""
-    return [mock.patch.object(Figures, "lapse_s", property(lambda self: 2.0))]
+    return [mock.patch.object(SchedulerTimings, "lease_expiry_s", property(lambda self: 2.0))]
 
 
 def _holds_without_end() -> list[Any]:
