--- a/pipitledge/scheduling/__init__.py
+++ b/pipitledge/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs and their tasks on the primary: admission, placement, runs, ends, preemption."""
+"""The job scheduler of the primary: admission, placement, task runs, preemption and agent reports."""
--- a/pipitledge/scheduling/calls.py
+++ b/pipitledge/scheduling/calls.py
@@ -1,4 +1,4 @@
-"""Clients' calls: submit, state, cancel, count. Each answer leaves after the state it tells of is committed."""
+"""Client calls: submit, state, cancel and count. An answer is sent after the state that it depends on is committed."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 from pipitledge.scheduling.tasks import Job
 from pipitledge.wire.messages import CallKind, ClientCall, ClientReply, JobState, NotPrimary
 
-UNCONFIGURED_RETRY_MS = 500
+UNCONFIGURED_RETRY_MS = 500  # clients retry after this while the node has no configuration
 _STATE_NAMES = {JobState.COMPLETED: "completed", JobState.FAILED: "failed", JobState.CANCELLED: "cancelled"}
 
 
 class Answer(Struct, frozen=True):
-    """An answer made from the state of this moment."""
+    """An answer to a client call, made from the current state."""
 
     reply: ClientReply
-    waits_for_commit: bool = True  # it leaves once all changes up to now are committed
-    valid_on_any_primary: bool = False  # once committed it is true whoever is primary by then
+    waits_for_commit: bool = True  # it is sent once all changes made so far are committed
+    valid_on_any_primary: bool = False  # once committed it stays true even if another node has become primary
 
 
 class ClientCallHandler:
-    """Answers clients' calls."""
+    """Answers the calls of clients."""
 
     def __init__(self, context: Context, lifecycle: Lifecycle, admission: Admission) -> None:
-        """Work on the shared state."""
+        """Operate on the shared state of the scheduler."""
         self._context = context
         self._lifecycle = lifecycle
         self._admission = admission
 
     def handle(self, call: ClientCall, reply: Reply) -> None:
-        """Answer one call, now or once what it rests on is committed."""
+        """Answer one call, at once or when the state that the answer depends on is committed."""
         context = self._context
         if not context.active or not context.replicator.is_primary():
             reply(NotPrimary(view=context.replicator.view))
@@ -54,21 +54,25 @@
             reply(answer.reply)
 
     def _answer(self, call: ClientCall, configuration: Configuration) -> Answer:
-        """What a call is answered."""
+        """Carry out a call and return its answer."""
         route = configuration.match(call.host, call.path)
         if route is None:
             return Answer(ClientReply(status=HTTPStatus.NOT_FOUND), waits_for_commit=False)
-        rest = call.path[len(route.path_prefix) :]
+        suffix = call.path[len(route.path_prefix) :]
         if call.kind == CallKind.SUBMIT:
-            return self._submit(route, rest, call.body)
+            return self._submit(route, suffix, call.body)
         if call.kind == CallKind.CANCEL:
-            return self._cancel(rest)
-        if call.kind == CallKind.COUNT or not rest:
+            return self._cancel(suffix)
+        if call.kind == CallKind.COUNT or not suffix:
             return self._count(route)
-        return self._state(rest)
+        return self._state(suffix)
 
     def _when_committed(self, answer: Answer, reply: Reply) -> None:
-        """An order that was taken is never answered as if it had not run, also by a node that steps down."""
+        """Send an answer after the commit.
+
+        A submission or cancellation that is committed is acknowledged even by a node that has stepped down; other
+        answers are replaced by a referral to the primary in that case.
+        """
         replicator = self._context.replicator
 
         def send() -> None:
--- a/pipitledge/scheduling/context.py
+++ b/pipitledge/scheduling/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the scheduler share: its ports, and all that it knows while this node is primary."""
+"""State shared by the parts of the scheduler: its ports, and everything that it keeps while this node is primary."""
 
 from __future__ import annotations
 
@@ -18,87 +18,87 @@
 from pipitledge.scheduling.workers import ServiceRoom, Worker, room_of
 from pipitledge.wire.messages import JobState
 
-PASS_DELAY_S = 0.002  # events of this time share one pass and one write
-PASS_RETRY_S = 0.05  # while the node may not write
+PASS_DELAY_S = 0.002  # events within this time share one pass and one write
+PASS_RETRY_S = 0.05  # before the next pass if the node may not write
 TOLERATED_OUTAGE_S = 13.0
-"""Agents hold tasks so long without a primary: all counted machines may be without power for ten seconds."""
-MAX_CLOCK_DRIFT = 1.03  # clocks that measure a grant differ by less
-GRANT_SLACK_S = 0.3  # and the last kill takes less
-USABLE_WORKERS_VALID_S = 0.1  # the list of usable workers is made anew after that, or at a change
-CAPACITY_VALID_S = 0.5
-CAPACITY_RETENTION_S = 30.0  # a worker that fell silent still counts as capacity for so long
-LOWEST_PRIORITY = 9  # of a route that is not known any more
+"""Agents keep tasks running this long without a primary: all voting members may lose power for ten seconds."""
+MAX_CLOCK_DRIFT = 1.03  # upper bound of the rate difference between the clocks that measure a lease grant
+GRANT_SLACK_S = 0.3  # upper bound of the time that killing the last expired task takes
+USABLE_WORKERS_VALID_S = 0.1  # the list of usable workers is rebuilt after this time, or at a change
+CAPACITY_VALID_S = 0.5  # the capacity of a service is computed again after this time
+CAPACITY_RETENTION_S = 30.0  # a worker counts towards the capacity of its service this long after its last report
+LOWEST_PRIORITY = 9  # used for a route that is not known any more
 
 
 class EventLog(Protocol):
-    """Takes events, one a line."""
+    """A log of events, one per line."""
 
     def info(self, event: str, **fields: object) -> None:
         """Write an ordinary event."""
 
     def warning(self, event: str, **fields: object) -> None:
-        """Write an event that operators may want to look at."""
+        """Write an event that may need the attention of an operator."""
 
 
 class NodeIdentity(Struct, frozen=True):
-    """This process, as others reach it."""
+    """Name and address of this process, as agents reach it."""
 
     name: str
     address: str  # ip:port of its internal server
 
 
 class Ports(Struct, frozen=True):
-    """What the scheduler is given to act through."""
+    """Interfaces to the outside that the scheduler is given."""
 
     clock: Clock
     network: Network
     replicator: Replicator
-    configuration: Callable[[], Configuration | None]
-    wall_ms: Callable[[], int]
+    configuration: Callable[[], Configuration | None]  # None: not known yet
+    wall_ms: Callable[[], int]  # wall clock
     log: EventLog
 
 
 class SchedulerTimings(Struct, frozen=True):
-    """Times that follow from the deployment's bounds."""
+    """Durations derived from the bounds of the deployment."""
 
     bounds: Bounds
     heartbeat_s: float
 
     @property
     def grant_ms(self) -> int:
-        """How long an agent may hold tasks after the report that was answered."""
+        """Length of a lease grant: how long after an answered report the agent may keep tasks running."""
         return int(max(self.bounds.hold_max_ms, TOLERATED_OUTAGE_S * 1_000.0))
 
     @property
     def lease_expiry_s(self) -> float:
-        """After so long without an answered report, all that a worker ran has lapsed for certain."""
+        """Time since the last report of a worker after which all its task leases have certainly expired."""
         return self.grant_ms / 1_000.0 * MAX_CLOCK_DRIFT + GRANT_SLACK_S
 
     @property
     def stop_s(self) -> float:
-        """The longest that a stop takes."""
+        """The longest time that stopping a run takes."""
         return self.bounds.stop_ms / 1_000.0
 
 
 class _CachedWorkers(Struct):
-    """Workers that could be used, for a while."""
+    """The usable workers of a service, cached until a time."""
 
     until: float
-    crowd: Crowd
+    workers: Crowd
 
 
 class _CachedCapacity(Struct):
-    """Room of a service, for a while."""
+    """The total capacity of a service, cached until a time."""
 
     until: float
-    service_capacity: ServiceRoom
+    capacity: ServiceRoom
 
 
 class Context:
-    """The scheduler's shared state."""
+    """The shared state of the scheduler."""
 
     def __init__(self, ports: Ports, timings: SchedulerTimings, identity: NodeIdentity) -> None:
-        """Start with nothing known."""
+        """Start inactive, with empty state."""
         self.ports = ports
         self.clock = ports.clock
         self.replicator = ports.replicator
@@ -110,35 +110,35 @@
         self.on_pass: Callable[[], None] = lambda: None
         self._pass_timer: Timer | None = None
         self._routes: dict[str, Route] = {}
-        self._routes_of: Configuration | None = None
+        self._routes_source: Configuration | None = None
         self.clear()
 
     def clear(self) -> None:
-        """Forget everything."""
-        self.jobs: dict[str, Job] = {}  # open ones, and those that have runs left
-        self.ended_jobs: dict[str, JobState] = {}
-        self.pending: dict[str, set[str]] = {}  # by route, jobs none of whose tasks has been started
-        self.inflight: dict[str, float] = {}  # by route, slots of open jobs
-        self.unweighed: list[Job] = []  # jobs that came before any worker was known
-        self.workers: dict[str, Worker] = {}
+        """Drop all state; called when this node gains or loses the primary role."""
+        self.jobs: dict[str, Job] = {}  # open jobs, and ended ones that still have runs
+        self.ended_jobs: dict[str, JobState] = {}  # final states that clients may still ask for
+        self.pending: dict[str, set[str]] = {}  # by route, open jobs without any assigned task yet
+        self.inflight: dict[str, float] = {}  # by route, total weight of its open jobs, in slots
+        self.unweighed: list[Job] = []  # jobs accepted before the workers of their service were known
+        self.workers: dict[str, Worker] = {}  # by node
         self.queues: dict[str, WorkQueue] = {}  # by service
-        self.dirty_task_groups: set[TaskGroup] = set()  # steps to be looked at by the next pass
-        self.dirty_workers: set[Worker] = set()  # workers that may have gained room
-        self.placed: list[Run] = []  # runs whose records are in the batch
-        self.workers_to_push: set[Worker] = set()  # workers that orders should be pushed to
-        self.last_progress_at: dict[str, dict[str, float]] = {}  # by service and node, when work was last seen to go on
+        self.dirty_task_groups: set[TaskGroup] = set()  # task groups that the next pass has to consider
+        self.dirty_workers: set[Worker] = set()  # workers that may have more free resources or be usable again
+        self.placed: list[Run] = []  # new runs with records in the unwritten batch
+        self.workers_to_push: set[Worker] = set()  # workers with orders to send
+        self.last_progress_at: dict[str, dict[str, float]] = {}  # by service and node: last progress of any run
         self._usable_cache: dict[str, _CachedWorkers] = {}
         self._capacity_cache: dict[str, _CachedCapacity] = {}
         self.activated_at = 0.0
-        self.next_order = 1
+        self.next_order = 1  # acceptance order of the next job
 
     def request_pass(self) -> None:
-        """See to it that a scheduling pass comes soon."""
+        """Schedule a pass soon, if none is scheduled."""
         if self._pass_timer is None and self.active:
             self._pass_timer = self.clock.at(self.clock.now() + PASS_DELAY_S, self._run_pass)
 
     def cancel_pass(self) -> None:
-        """Drop the pass that was asked for."""
+        """Cancel the scheduled pass."""
         if self._pass_timer is not None:
             self._pass_timer.cancel()
             self._pass_timer = None
@@ -149,38 +149,38 @@
             self.on_pass()
 
     def retry_pass(self) -> None:
-        """Have another pass later: this node may not write just now."""
+        """Schedule another pass later, because this node may not write at present."""
         if self._pass_timer is None and self.active:
             self._pass_timer = self.clock.at(self.clock.now() + PASS_RETRY_S, self._run_pass)
 
     def route(self, name: str) -> Route | None:
-        """The route of that name as it is in force, or as it was last; None if this node never knew it."""
+        """Return a route by name, from the current configuration or the last one that had it; None if never known."""
         configuration = self.ports.configuration()
-        if configuration is not self._routes_of and configuration is not None:
-            self._routes_of = configuration
+        if configuration is not self._routes_source and configuration is not None:
+            self._routes_source = configuration
             self._routes.update({route.name: route for route in configuration.routes})
         return self._routes.get(name)
 
     def remember_route(self, admitted_route: Route) -> None:
-        """A job was accepted on these terms; they count where the configuration has no such route any more."""
+        """Keep the admitted route of a job, to be used if the configuration no longer has a route of that name."""
         configuration = self.ports.configuration()
         if configuration is None or configuration.route_by_name(admitted_route.name) is None:
             self._routes[admitted_route.name] = admitted_route
 
     def priority_of(self, task_group: TaskGroup) -> int:
-        """Priority of a step's queue."""
+        """Return the priority of the route of a task group; 0 is the most urgent."""
         route = self.route(task_group.job.route)
         return LOWEST_PRIORITY if route is None else route.priority
 
     def queue(self, service: str) -> WorkQueue:
-        """The steps that wait for workers of a service."""
+        """Return the queue of the task groups that wait for workers of a service."""
         queue = self.queues.get(service)
         if queue is None:
             queue = self.queues[service] = WorkQueue(self.priority_of)
         return queue
 
     def worker(self, node: str) -> Worker:
-        """The worker beside the agent of that name."""
+        """Return the worker of an agent, by node name; it is created if it is not known yet."""
         worker = self.workers.get(node)
         if worker is None:
             held_until = self.activated_at + self.timings.lease_expiry_s
@@ -188,10 +188,13 @@
         return worker
 
     def usable_workers(self, service: str, now: float) -> Crowd:
-        """Workers of a service that may get new tasks, room apart; avoided ones only if there are no others."""
+        """Return the workers of a service on which tasks may be placed, whether or not they have free resources.
+
+        Avoided and slow workers are only a reserve, or are used if there are no others.
+        """
         cached = self._usable_cache.get(service)
         if cached is not None and now < cached.until:
-            return cached.crowd
+            return cached.workers
         heartbeat_s = self.timings.heartbeat_s
         usable = [
             worker for worker in self.workers.values() if worker.service == service and worker.usable(now, heartbeat_s)
@@ -200,23 +203,23 @@
         self._usable_cache[service] = cached = _CachedWorkers(
             now + USABLE_WORKERS_VALID_S, Crowd(healthy or usable, usable)
         )
-        return cached.crowd
+        return cached.workers
 
     def usability_changed(self, worker: Worker) -> None:
-        """A worker may have become usable, or no longer be."""
+        """Drop the cached list of usable workers: a worker may have become usable or unusable."""
         self._usable_cache.pop(worker.service, None)
         self.dirty_workers.add(worker)
 
     def service_capacity(self, service: str) -> ServiceRoom:
-        """What the workers of a service that were heard of lately have in all."""
+        """Return the total capacity of the workers of a service that have reported recently."""
         now = self.clock.now()
         cached = self._capacity_cache.get(service)
         if cached is not None and now < cached.until:
-            return cached.service_capacity
+            return cached.capacity
         recent = [
             worker
             for worker in self.workers.values()
             if worker.service == service and worker.instance and now - worker.reported_at < CAPACITY_RETENTION_S
         ]
         self._capacity_cache[service] = cached = _CachedCapacity(now + CAPACITY_VALID_S, room_of(recent))
-        return cached.service_capacity
+        return cached.capacity
--- a/pipitledge/scheduling/job.py
+++ b/pipitledge/scheduling/job.py
@@ -1,4 +1,4 @@
-"""A job as its client submitted it: read, checked, and measured."""
+"""Job submissions: parsing, validation and duration estimates."""
 
 from __future__ import annotations
 
@@ -11,74 +11,72 @@
 
 MAX_SPEC_BYTES = 4_000
 MAX_STAGES = 1_000
-MAX_TASKS = 100_000  # of one time of a job
+MAX_TASKS = 100_000  # in one occurrence of a job
 MAX_OCCURRENCES = 1_000_000
-DEFAULT_ESTIMATE_MS = 1_000.0  # of a task whose client gave no estimate
+DEFAULT_ESTIMATE_MS = 1_000.0  # duration of a task for which the client gave no estimate
 JOB_ID_DIGITS = 16
 _HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
 
 
-NON_NEGATIVE_FIELDS = frozenset(
-    ("cpu", "memory_limit_mb", "gpu", "estimated_ms", "anti_affinity")
-)  # of a step, none below 0
+NON_NEGATIVE_FIELDS = frozenset(("cpu", "memory_limit_mb", "gpu", "estimated_ms", "anti_affinity"))  # of a stage
 
 
 class Stage(Struct, frozen=True, rename="camel"):
-    """One step of a job: so many alike tasks, and what they ask of their workers."""
+    """One stage of a submitted job: `count` identical tasks with the same resource request and placement rules."""
 
-    count: int = 1
-    cpu: int = 0  # thousandths of a core
+    count: int = 1  # number of tasks
+    cpu: int = 0  # millicores
     memory_limit_mb: int = 0
     gpu: int = 0
     estimated_ms: float = 0.0
-    depends_on: tuple[int, ...] = ()
-    checkpoints: bool = False
-    gang: bool = False
-    same_rack: bool = False
-    node_selector: str = ""
-    affinity: str = ""
-    anti_affinity: int = 0
-    speculative: bool = False
-    long_running: bool = False
+    depends_on: tuple[int, ...] = ()  # indexes of earlier stages that must be done first
+    checkpoints: bool = False  # tasks save checkpoints, from which later runs resume
+    gang: bool = False  # all tasks must run at the same time
+    same_rack: bool = False  # of a gang: prefer workers of a single rack
+    node_selector: str = ""  # label that the worker must have
+    affinity: str = ""  # label of the workers near the data, which are preferred
+    anti_affinity: int = 0  # most tasks of the stage on one worker; 0: no limit
+    speculative: bool = False  # a task may run twice at once, while the worker of the first run is unreachable
+    long_running: bool = False  # tasks run until the job is cancelled
 
     @property
     def estimate_s(self) -> float:
-        """How long a task takes, roughly, in seconds."""
+        """Estimated duration of one task, in seconds."""
         return (self.estimated_ms or DEFAULT_ESTIMATE_MS) / 1_000.0
 
 
 class Submission(Struct, frozen=True, rename="camel"):
-    """The body of a submitted job."""
+    """The JSON body of a submitted job."""
 
     spec: str = ""
     stages: tuple[Stage, ...] = ()
-    start_at_ms: int = 0
-    interval_ms: int = 0
-    repeat_count: int = 0
+    start_at_ms: int = 0  # wall-clock time of the first occurrence
+    interval_ms: int = 0  # between two occurrences
+    repeat_count: int = 0  # number of occurrences; 0: the job runs once, at once
 
     @property
     def occurrences(self) -> int:
-        """How many times its steps run."""
+        """How many times the stages of the job run; 1 for a job that does not repeat."""
         return max(1, self.repeat_count)
 
     def due_ms(self, occurrence: int) -> int:
-        """Time of day from which time `time` may run; 0 for a job that may run at once."""
+        """Return the wall-clock time from which an occurrence may run; 0 if the job may run at once."""
         return self.start_at_ms + occurrence * self.interval_ms if self.repeat_count else 0
 
     @property
     def has_long_running_stage(self) -> bool:
-        """Whether some of its tasks run until it is cancelled."""
+        """Whether at least one stage has tasks that run until the job is cancelled."""
         return any(stage.long_running for stage in self.stages)
 
 
 class Rejection(Struct, frozen=True):
-    """Why a body is no job: the place in it, and the reason."""
+    """Why a submitted body is invalid: the path of the wrong field, and the reason."""
 
     path: str
     reason: str
 
     def __str__(self) -> str:
-        """The rejection as one line."""
+        """Return path and reason on one line, as the client sees them."""
         return f"{self.path}: {self.reason}"
 
 
@@ -86,12 +84,12 @@
 
 
 def is_job_id(text: str) -> bool:
-    """Whether a text has the form of a job's ID."""
+    """Return whether a text is a valid job ID: 16 hexadecimal digits."""
     return len(text) == JOB_ID_DIGITS and _HEX_DIGITS.issuperset(text)
 
 
 def parse_submission(body: bytes) -> Submission | Rejection:
-    """The job in a body, or what is wrong with it."""
+    """Parse and validate the body of a job; return what is wrong with it if it is invalid."""
     try:
         submission = _DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -100,13 +98,13 @@
 
 
 def _check_job(submission: Submission) -> Rejection | None:
-    """Check what concerns the job as a whole."""
+    """Check the fields and limits of the whole job."""
     if len(submission.spec.encode(errors="replace")) > MAX_SPEC_BYTES:
         return Rejection("spec", f"more than {MAX_SPEC_BYTES} bytes")
     if not submission.stages:
-        return Rejection("stages", "a job has at least one step")
+        return Rejection("stages", "a job needs at least one stage")
     if len(submission.stages) > MAX_STAGES:
-        return Rejection("stages", f"more than {MAX_STAGES} steps")
+        return Rejection("stages", f"more than {MAX_STAGES} stages")
     if sum(max(0, stage.count) for stage in submission.stages) > MAX_TASKS:
         return Rejection("stages", f"more than {MAX_TASKS} tasks")
     if not 0 <= submission.repeat_count <= MAX_OCCURRENCES:
@@ -117,7 +115,7 @@
 
 
 def _check_stages(stages: tuple[Stage, ...]) -> Rejection | None:
-    """Check each step."""
+    """Check the fields of each stage."""
     for index, stage in enumerate(stages):
         path = f"stages[{index}]"
         if stage.count < 1:
@@ -126,14 +124,14 @@
             if stage_field.name in NON_NEGATIVE_FIELDS and getattr(stage, stage_field.name) < 0:
                 return Rejection(f"{path}.{stage_field.encode_name}", "below 0")
         if any(not 0 <= dependency < index for dependency in stage.depends_on):
-            return Rejection(f"{path}.dependsOn", "names a step that isn't an earlier one")
+            return Rejection(f"{path}.dependsOn", "refers to a stage that does not come before this one")
     return None
 
 
 def critical_paths_s(stages: Sequence[Stage], durations: Sequence[float]) -> tuple[float, ...]:
-    """For each step, the longest chain of work from its start to the end of the job, in seconds.
+    """Return for each stage the length of the critical path from its start to the end of the job, in seconds.
 
-    `lengths`: seconds that each step takes.
+    `durations` holds the duration of each stage, in seconds.
     """
     path_lengths = [0.0] * len(stages)
     for index in range(len(stages) - 1, -1, -1):
@@ -144,12 +142,16 @@
 
 
 def estimated_durations_s(stages: Sequence[Stage], waves: Sequence[float]) -> tuple[float, ...]:
-    """How long each step takes by its estimate, which passes `waves` times until all tasks have had their turn."""
+    """Return the estimated duration of each stage: the task estimate times the number of waves of the stage."""
     return tuple(stage.estimate_s * max(1.0, wave_total) for stage, wave_total in zip(stages, waves, strict=True))
 
 
 def wave_count(stage: Stage, worker_fraction: float, workers: int, usable_fraction: float = 0.25) -> float:
-    """How many waves a step takes if it may use `room_part` of the workers; `share`: of one worker, a task's need."""
+    """Return in how many successive waves the tasks of a stage run.
+
+    `worker_fraction` is the part of one worker that a task takes. The stage is assumed to get `usable_fraction` of all
+    workers.
+    """
     if workers <= 0:
         return 1.0
     return float(max(1, math.ceil(stage.count * worker_fraction / (workers * usable_fraction) - 1e-9)))
--- a/pipitledge/scheduling/lifecycle.py
+++ b/pipitledge/scheduling/lifecycle.py
@@ -1,4 +1,4 @@
-"""What becomes of jobs, steps, tasks and runs: every change of their states, and the records it writes."""
+"""State changes of jobs, task groups, tasks and runs, and the records that each change writes."""
 
 from __future__ import annotations
 
@@ -14,42 +14,42 @@
 from pipitledge.scheduling.workers import Worker
 from pipitledge.wire.messages import JobState, TaskPhase
 
-RETENTION_FACTOR = 3.0  # ended jobs are told of for so many times `status_s`
+RETENTION_FACTOR = 3.0  # the state of an ended job is kept for this many times `status_s`
 MAX_DELETIONS_PER_TICK = 100
-FAILURE_BACKOFF_S = 0.02  # before the next try, doubled with each failure
-REFUSAL_BACKOFF_S = 0.1
-SHORT_RUN_S = 3.0  # a lasting task that ends sooner is restarted with a growing pause
-SHORT_RUN_BACKOFF_S = 0.1
-MAX_BACKOFF_S = 2.0  # nothing may stand still for 3 s
+FAILURE_BACKOFF_S = 0.02  # before the next attempt; doubled with each failure
+REFUSAL_BACKOFF_S = 0.1  # before the next attempt after a worker refused a start
+SHORT_RUN_S = 3.0  # a long-running task whose run ends sooner is restarted with a growing backoff
+SHORT_RUN_BACKOFF_S = 0.1  # doubled with each short run in a row
+MAX_BACKOFF_S = 2.0  # no waiting task may be idle for 3 s
 
 
 class Lifecycle:
-    """Moves jobs and their tasks from state to state."""
+    """Performs every state change of jobs, task groups, tasks and runs."""
 
     def __init__(self, context: Context) -> None:
-        """Work on the shared state."""
+        """Operate on the shared state of the scheduler."""
         self._context = context
         self._objectives = Objectives(context)
         self.evidence = Evidence(context)
-        self._due_heap: list[tuple[int, str]] = []  # heap of (due time of day, job)
-        self._retained: deque[tuple[float, str]] = deque()  # (when, ended job)
+        self._due_heap: list[tuple[int, str]] = []  # heap of (wall-clock due time in ms, job ID)
+        self._retained: deque[tuple[float, str]] = deque()  # (when to delete, ID of an ended job)
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Drop all timers of jobs; called when the node gains or loses the primary role."""
         self._due_heap.clear()
         self._retained.clear()
 
     # ---- jobs
 
     def accept(self, job: Job) -> None:
-        """Take in a new job."""
+        """Accept a new job: register it, write its record and start the occurrences that are due."""
         context = self._context
         self.add_job(job)
         context.batch.put(job_key(job.id), encode_job(job, keep_body=True))
         self.start_due_occurrences(job)
 
     def add_job(self, job: Job) -> None:
-        """Make a job known."""
+        """Register a job in the shared state, and in the counts of its route if it is open."""
         context = self._context
         context.jobs[job.id] = job
         if job.open:
@@ -60,7 +60,7 @@
                 context.pending.setdefault(job.route, set()).add(job.id)
 
     def start_due_occurrences(self, job: Job) -> None:
-        """Begin the job's times that have come due, and await the next."""
+        """Start the occurrences of a job that have come due, and schedule the next one."""
         wall_ms = self._context.ports.wall_ms()
         while (
             job.next_occurrence < job.submission.occurrences and job.submission.due_ms(job.next_occurrence) <= wall_ms
@@ -69,19 +69,23 @@
         self.schedule_next_occurrence(job)
 
     def schedule_next_occurrence(self, job: Job) -> None:
-        """Remember when the job's next time comes due."""
+        """Add the due time of the next occurrence to the heap, if there is one."""
         if job.next_occurrence < job.submission.occurrences:
             heapq.heappush(self._due_heap, (job.submission.due_ms(job.next_occurrence), job.id))
 
     def start_due_jobs(self) -> None:
-        """Begin all times that have come due."""
+        """Start all occurrences that have come due, of all open jobs."""
         for job_id in self._pop_due():
             job = self._context.jobs.get(job_id)
             if job is not None and job.open:
                 self.start_due_occurrences(job)
 
     def _pop_due(self) -> list[str]:
-        """Jobs that one reading of the clock has due; one that a later reading has not is awaited again."""
+        """Pop the jobs that are due by one reading of the clock.
+
+        `start_due_occurrences` reads the clock again and reschedules a job that is not due by then, so that a single
+        reading that jumps ahead starts nothing early.
+        """
         wall_ms = self._context.ports.wall_ms()
         due = []
         while self._due_heap and self._due_heap[0][0] <= wall_ms:
@@ -89,19 +93,19 @@
         return due
 
     def next_due_s(self) -> float | None:
-        """Seconds until the next time of a job comes due."""
+        """Return the seconds until the next occurrence of any job comes due; None if none is scheduled."""
         if not self._due_heap:
             return None
         return (self._due_heap[0][0] - self._context.ports.wall_ms()) / 1_000.0
 
     def start_occurrence(self, job: Job, occurrence: int) -> None:
-        """Create the steps of one time, and queue those that depend on nothing."""
+        """Create the task groups of one occurrence, and queue those without unmet dependencies."""
         self.create_occurrence(job, occurrence)
         for index in range(len(job.submission.stages)):
             self.queue_if_ready(job.task_groups[occurrence, index])
 
     def create_occurrence(self, job: Job, occurrence: int) -> None:
-        """Create the steps of one time."""
+        """Create the task groups of one occurrence, and set their deadlines."""
         job.next_occurrence = max(job.next_occurrence, occurrence + 1)
         stages = job.submission.stages
         job.unfinished_task_groups[occurrence] = len(stages)
@@ -110,16 +114,16 @@
         self._objectives.begin(job, occurrence)
 
     def complete_if_done(self, job: Job) -> None:
-        """A job is completed once all of its times are."""
+        """Complete a job when all of its occurrences are completed."""
         if job.open and job.completed_occurrences == job.submission.occurrences:
             self._end_job(job, JobState.COMPLETED)
 
     def cancel(self, job: Job) -> None:
-        """End a job at its client's wish."""
+        """End a job because its client cancelled it."""
         self._end_job(job, JobState.CANCELLED)
 
     def _end_job(self, job: Job, state: JobState) -> None:
-        """A job is over; its runs are stopped once that is committed."""
+        """Set the final state of a job; its runs are stopped once that state is committed."""
         context = self._context
         job.state = state
         context.inflight[job.route] = max(0.0, context.inflight.get(job.route, 0.0) - job.weight)
@@ -130,35 +134,35 @@
             context.dirty_task_groups.discard(task_group)
             task_group.waiting.clear()
         self._drop_unsent_runs(job)
-        left = bool(job.live_runs())
-        context.batch.put(job_key(job.id), encode_job(job, keep_body=left))
+        has_runs = bool(job.live_runs())
+        context.batch.put(job_key(job.id), encode_job(job, keep_body=has_runs))
         self.delete_idle_task_records(job)
-        if left:
+        if has_runs:
             context.batch.when_committed(lambda: self.stop_runs(job))
         else:
             self._retire(job)
         context.log.info("job_ended", job=job.id, state=state.name.lower())
 
     def delete_idle_task_records(self, job: Job) -> None:
-        """Delete the records of a job's tasks that hold no room."""
+        """Delete the records of the tasks of a job that have no run left."""
         for task in job.tasks():
             if not task.live_runs():
                 self._delete_task_record(task)
 
     def _drop_unsent_runs(self, job: Job) -> None:
-        """Runs whose orders never left never were."""
+        """Release the runs of a job for which no start order was ever sent: they do not exist on any worker."""
         for task in job.tasks():
             if task.run is not None and not task.run.start_sent:
                 self._release(task.run)
 
     def stop_runs(self, job: Job) -> None:
-        """Stop all that still runs of a job that is over."""
+        """Stop all runs that a job which has ended still has."""
         for run in job.live_runs():
             if not run.settled:
                 self.request_stop(run, StopCause.JOB_ENDED)
 
     def retire_if_over(self, job: Job) -> None:
-        """Once nothing of an ended job runs any more, keep only how it ended."""
+        """Reduce an ended job to its final state once it has no runs left."""
         if job.open or job.id not in self._context.jobs or job.live_runs():
             return
         self._context.batch.put(job_key(job.id), encode_job(job, keep_body=False))
@@ -169,14 +173,14 @@
         self.remember_ended(job.id, job.state)
 
     def remember_ended(self, job_id: str, state: JobState) -> None:
-        """Tell of an ended job for a while."""
+        """Keep the final state of a job for clients that ask, until its retention time is over."""
         context = self._context
         context.ended_jobs[job_id] = state
         keep_s = RETENTION_FACTOR * context.timings.bounds.status_s
         self._retained.append((context.clock.now() + keep_s, job_id))
 
     def delete_expired_jobs(self) -> None:
-        """Delete ended jobs that have been told of for long enough."""
+        """Delete the records of ended jobs whose retention time is over, a bounded number at a time."""
         now = self._context.clock.now()
         for _ in range(MAX_DELETIONS_PER_TICK):
             if not self._retained or self._retained[0][0] > now:
@@ -185,17 +189,17 @@
             if self._context.ended_jobs.pop(job_id, None) is not None:
                 self._context.batch.delete(job_key(job_id))
 
-    # ---- steps
+    # ---- task groups
 
     def queue_if_ready(self, task_group: TaskGroup) -> None:
-        """Queue the tasks of a step that depends on nothing undone."""
+        """Queue the tasks of a task group once all stages that it depends on are done."""
         if task_group.ready or task_group.unmet_dependencies > 0 or task_group.done:
             return
         task_group.ready = True
         self.queue_waiting(task_group)
 
     def queue_waiting(self, task_group: TaskGroup) -> None:
-        """Queue all tasks of a step that neither run nor are done; a gang only when none of it runs."""
+        """Queue the waiting tasks of a task group; a gang is queued only when none of its tasks has a run."""
         if not task_group.ready or not task_group.job.open:
             return
         if task_group.gang and any(True for _ in task_group.runs()):
@@ -210,7 +214,7 @@
             self._enqueue(task_group)
 
     def _enqueue(self, task_group: TaskGroup) -> None:
-        """Put a step into the queue, and have it looked at, again once its pauses are over."""
+        """Add a task group to the queue, and request a pass now and after each backoff of its tasks."""
         context = self._context
         now = context.clock.now()
         context.queue(task_group.job.service).add(task_group, now)
@@ -220,7 +224,7 @@
             context.clock.at(backoff_end, lambda: self._reconsider(task_group))
 
     def _reconsider(self, task_group: TaskGroup) -> None:
-        """Look at a step again if it still waits."""
+        """Have the next pass consider a task group, if it is still queued."""
         context = self._context
         if context.jobs.get(task_group.job.id) is task_group.job and task_group in context.queue(
             task_group.job.service
@@ -229,14 +233,14 @@
             context.request_pass()
 
     def _task_group_done(self, task_group: TaskGroup) -> None:
-        """All tasks of a step are done: go on with what waited for it."""
+        """Handle the completion of a task group: queue its dependents, and complete the occurrence and the job."""
         job = task_group.job
         self._context.queue(job.service).remove(task_group)
         for index, stage in enumerate(job.submission.stages):
             if task_group.index in stage.depends_on:
-                later = job.task_groups[task_group.occurrence, index]
-                later.unmet_dependencies -= 1
-                self.queue_if_ready(later)
+                dependent = job.task_groups[task_group.occurrence, index]
+                dependent.unmet_dependencies -= 1
+                self.queue_if_ready(dependent)
         job.unfinished_task_groups[task_group.occurrence] -= 1
         if job.unfinished_task_groups[task_group.occurrence] == 0:
             job.completed_occurrences += 1
@@ -245,7 +249,7 @@
     # ---- runs
 
     def assign(self, task: Task, worker: Worker, number: int) -> None:
-        """Give a task to a worker: from the commit of its record on, the run may exist."""
+        """Assign a task to a worker; the run may exist from the commit of the task record on."""
         context = self._context
         now = context.clock.now()
         task_group = task.task_group
@@ -274,7 +278,7 @@
             context.pending.get(task_group.job.route, set()).discard(task_group.job.id)
 
     def allocate(self, run: Run, worker: Worker) -> None:
-        """Count a run on its worker."""
+        """Make a run the current one of its task, and count its resources on the worker."""
         task = run.task
         task.run = run
         worker.add(run, task.task_group.resource_request)
@@ -282,7 +286,7 @@
         runs_per_node[worker.node] = runs_per_node.get(worker.node, 0) + 1
 
     def request_stop(self, run: Run, cause: StopCause) -> None:
-        """Have a run stopped; its task is free again when the end is known."""
+        """Request the stop of a run; its task can be placed again once the end of the run is known."""
         if run.stop_cause is not None or run.settled:
             return
         run.stop_cause = cause
@@ -294,7 +298,7 @@
         self._context.request_pass()
 
     def run_ended(self, run: Run, outcome: RunOutcome, checkpoint: str = "") -> None:
-        """A run is over for certain."""
+        """Handle a run that has certainly ended: free its resources, and retry or complete its task."""
         task = run.task
         is_previous = run in task.previous_runs
         if task.run is not run and not is_previous:
@@ -342,7 +346,7 @@
         self._requeue_task(task)
 
     def _count_failure(self, run: Run) -> bool:
-        """Count a failed run; whether that ends its job."""
+        """Count a failed run; return whether the failure ends its job."""
         task = run.task
         task.failures += 1
         task.avoided_nodes.add(run.node)
@@ -354,7 +358,7 @@
         return True
 
     def _long_running_ended(self, run: Run) -> None:
-        """A lasting task is started again however it ended, on another worker if it failed."""
+        """Restart a long-running task, whatever the outcome of its run, preferably on another worker."""
         task = run.task
         now = self._context.clock.now()
         task.avoided_nodes = {run.node}
@@ -364,25 +368,26 @@
         self._requeue_task(task)
 
     def _run_interrupted(self, run: Run, outcome: RunOutcome) -> None:
+        """Queue a task again that did not fail by itself; this counts as no attempt."""
         if outcome is RunOutcome.REFUSED:
             run.task.refused_by = run.node
             run.task.not_before = self._context.clock.now() + REFUSAL_BACKOFF_S
         self._requeue_task(run.task)
 
-    # ---- copies beside a run
+    # ---- speculative copies
 
     def request_speculative_copy(self, run: Run) -> None:
-        """Let a task run anew elsewhere; the present run goes on, and whichever ends well first counts."""
+        """Queue a task for a second run on another worker; the first run that ends well counts."""
         task = run.task
         task.run = None
         task.previous_runs.append(run)
         self._requeue_task(task)
 
     def withdraw_copy_request(self, run: Run) -> None:
-        """A run is heard of again: if no copy of it was started yet, none is needed."""
+        """Keep the earlier run of a task, which is reported again, if no speculative copy was assigned yet."""
         task = run.task
-        waits = task.phase is TaskPhase.WAITING and task.run is None and run.number == task.last_run
-        if run not in task.previous_runs or run.stop_cause is not None or not waits or not task.task_group.job.open:
+        waiting = task.phase is TaskPhase.WAITING and task.run is None and run.number == task.last_run
+        if run not in task.previous_runs or run.stop_cause is not None or not waiting or not task.task_group.job.open:
             return
         task.previous_runs.remove(run)
         task.run = run
@@ -391,12 +396,15 @@
         self._write_task(task)
 
     def stop_if_never_started(self, run: Run) -> None:
-        """A run is absent from lists that are newer than its order, and a copy is wanted: make its end certain."""
+        """Stop an earlier run that was never listed, although the lists are newer than its order.
+
+        A speculative copy is wanted; the stop order makes certain that the earlier run does not start late.
+        """
         if run in run.task.previous_runs and not run.ever_listed:
             self.request_stop(run, StopCause.SUPERSEDED)
 
     def complete_by_other_run(self, task: Task) -> None:
-        """A task is done by another run than the one that was started last."""
+        """Complete a task through a run other than its latest one, which is stopped."""
         if task.phase is TaskPhase.DONE:
             return
         self._dequeue(task)
@@ -407,7 +415,7 @@
         self._task_done(task)
 
     def _previous_run_ended(self, run: Run, outcome: RunOutcome) -> None:
-        """A run ended beside which a copy was wanted."""
+        """Handle the end of an earlier run of a task for which a speculative copy was requested."""
         task = run.task
         if outcome is RunOutcome.DONE:
             self.complete_by_other_run(task)
@@ -415,7 +423,7 @@
             self._write_task(task)
 
     def _dequeue(self, task: Task) -> None:
-        """A task needs no start any more."""
+        """Take a task that needs no further run out of the queue."""
         task_group = task.task_group
         task_group.waiting.pop(task.index, None)
         if not task_group.waiting:
@@ -427,7 +435,7 @@
         self.queue_waiting(task.task_group)
 
     def _gang_member_ended(self, run: Run, outcome: RunOutcome) -> None:
-        """A member of a gang ended, and with it the gang's run."""
+        """Handle the end of a gang member: the gang is done, has failed, or stops and starts again as a whole."""
         task_group = run.task.task_group
         if outcome is RunOutcome.DONE and not task_group.stage.long_running:
             self._gang_done(task_group)
@@ -440,8 +448,8 @@
             task.refused_by = run.node
         task.phase = TaskPhase.WAITING
         self._write_task(task)
-        out_of_tries = not task_group.stage.long_running and task.failures >= self.max_attempts(task_group.job)
-        if out_of_tries:
+        attempts_exhausted = not task_group.stage.long_running and task.failures >= self.max_attempts(task_group.job)
+        if attempts_exhausted:
             self._end_job(task_group.job, JobState.FAILED)
             return
         for other in list(task_group.runs()):
@@ -454,7 +462,7 @@
             self.queue_waiting(task_group)
 
     def _gang_done(self, task_group: TaskGroup) -> None:
-        """One end `done` counts for all members; the others end by themselves."""
+        """Mark all members of a gang done when one of them is; the runs of the others end by themselves."""
         now = self._context.clock.now()
         for task in task_group.tasks:
             task.phase = TaskPhase.DONE
@@ -467,7 +475,7 @@
         self._task_group_done(task_group)
 
     def _release(self, run: Run) -> None:
-        """Free the room of a run that is over."""
+        """Free the resources of a run that has ended."""
         task = run.task
         if task.run is run:
             task.run = None
@@ -480,7 +488,7 @@
             self._context.request_pass()
 
     def end_instance(self, worker: Worker, instance: str) -> None:
-        """A life of a worker is over, and with it all that it ran."""
+        """Handle the end of a worker instance, and with it of all its runs."""
         self._context.usability_changed(worker)
         worker.end_life(instance)
         for run in list(worker.runs.values()):
@@ -488,7 +496,7 @@
                 self.run_ended(run, RunOutcome.INSTANCE_TERMINATED)
 
     def expire_worker(self, worker: Worker) -> None:
-        """Everything that a worker ran has lapsed for certain."""
+        """End all runs of a worker: their task leases have certainly expired."""
         runs = list(worker.runs.values())
         for run in runs:
             self.run_ended(run, RunOutcome.LAPSED)
@@ -496,17 +504,21 @@
             self._context.log.warning("worker_lapsed", peer=worker.node, runs=len(runs))
 
     def expire_instance(self, worker: Worker, instance: str) -> None:
-        """A silent life of a worker holds nothing any more."""
+        """End all runs of a worker instance that has been silent until its task leases expired."""
         runs = [run for run in worker.runs.values() if run.instance == instance]
         for run in runs:
             self.run_ended(run, RunOutcome.LAPSED)
         if runs:
             self._context.log.warning("worker_lapsed", peer=worker.node, instance=instance, runs=len(runs))
 
-    # ---- what runs tell
+    # ---- checkpoints and attempts
 
     def record_checkpoint(self, run: Run, checkpoint: str, final: bool = False) -> None:
-        """Keep the newest checkpoint of a task, or of its gang."""
+        """Record the newest checkpoint of a task.
+
+        The members of a gang share one checkpoint: one reported at the end of a run, or else the one of the member with
+        the most progress.
+        """
         task_group = run.task.task_group
         if not checkpoint or checkpoint == run.checkpoint or not task_group.stage.checkpoints:
             return
@@ -520,7 +532,7 @@
                 member.checkpoint = checkpoint
 
     def max_attempts(self, job: Job) -> int:
-        """How many failed ends make its tasks fail for good."""
+        """Return after how many failed runs a task of the job fails for good."""
         route = self._context.route(job.route)
         return max(1, route.max_attempts) if route is not None else 1
 
--- a/pipitledge/scheduling/orders.py
+++ b/pipitledge/scheduling/orders.py
@@ -1,4 +1,4 @@
-"""Orders to agents: what should run and what should not, repeated until a report shows it."""
+"""Start and stop orders to agents, resent until a report shows their effect."""
 
 from __future__ import annotations
 
@@ -11,23 +11,25 @@
 from pipitledge.scheduling.workers import Worker
 from pipitledge.wire.messages import AgentOrders, AgentReport, OrdersReply, StartOrder, StopOrder
 
-RESEND_AFTER_S = 0.25  # an order is repeated once its effect should have been reported
-SETTLED_GRACE_S = 1.5  # members of a gang that is done end by themselves; after that they are stopped
-BUSY_POLL_MS = 100  # between looks at a worker's ends, while work waits for room
-IDLE_POLL_MS = 300
+RESEND_AFTER_S = 0.25  # an order is resent if its effect has not been reported by then
+SETTLED_GRACE_S = (
+    1.5  # the other members of a gang that is done may end by themselves; after this time they are stopped
+)
+BUSY_POLL_MS = 100  # interval at which agents poll their worker for run ends while tasks wait for resources
+IDLE_POLL_MS = 300  # otherwise
 PUSH_TIMEOUT_S = 1.0
-PUSH_ATTEMPTS = 3  # before an agent counts as out of reach until it reports
+PUSH_ATTEMPTS = 3  # consecutive failed pushes after which orders are not resent until the agent reports
 
 
 class OrderSender:
-    """Makes agents' orders and sends them."""
+    """Collects the orders for each agent and sends them, pushed or as answers to reports."""
 
     def __init__(self, context: Context) -> None:
-        """Work on the shared state."""
+        """Operate on the shared state of the scheduler."""
         self._context = context
 
     def answer(self, worker: Worker, report: AgentReport) -> AgentOrders:
-        """The answer to a report: everything that it does not show yet."""
+        """Return the answer to a report: all orders that have not taken effect yet, and a new lease grant."""
         orders = self._collect_orders(worker)
         orders.sent_at = report.sent_at
         orders.report_number = report.number
@@ -37,7 +39,7 @@
         return orders
 
     def push(self, worker: Worker) -> None:
-        """Send a worker's orders at once, if there are any."""
+        """Send the orders of a worker to its agent at once, if there are any."""
         self._context.workers_to_push.discard(worker)
         if not worker.address or not self._context.replicator.is_primary():
             return
@@ -46,7 +48,7 @@
             self._send(worker, orders)
 
     def announce(self, address: str) -> None:
-        """Tell an agent who is primary, and under which term."""
+        """Notify an agent that this node is primary, and of its term."""
         orders = self._new_orders()
         orders.view = self._context.replicator.view
         self._context.ports.network.call(address, orders, PUSH_TIMEOUT_S, _ignore)
@@ -56,7 +58,7 @@
         network.call(worker.address, orders, PUSH_TIMEOUT_S, lambda reply: self._on_push_reply(worker, orders, reply))
 
     def _on_push_reply(self, worker: Worker, orders: AgentOrders, reply: Struct | None) -> None:
-        """An agent took the orders, or perhaps did not."""
+        """Handle the answer to pushed orders; None if the call failed, in which case the orders may have arrived."""
         context = self._context
         if isinstance(reply, OrdersReply):
             worker.push_failures = 0
@@ -83,7 +85,7 @@
         )
 
     def _collect_orders(self, worker: Worker) -> AgentOrders:
-        """Everything that the worker's life should do and isn't known to do, except what was sent just now."""
+        """Return all orders that the worker instance is not known to have carried out, except those sent just now."""
         now = self._context.clock.now()
         orders = self._new_orders()
         orders.report_number = worker.report_number
@@ -102,15 +104,15 @@
         return orders
 
     def _poll_interval_ms(self, worker: Worker) -> int:
-        """Ends are wanted sooner while work waits for the room that they free."""
+        """Return how often the agent should poll its worker; more often while tasks wait for freed resources."""
         queue = self._context.queues.get(worker.service)
         return BUSY_POLL_MS if queue else IDLE_POLL_MS
 
     def _add_order(self, run: Run, now: float, orders: AgentOrders) -> None:
-        """Add the order that one run needs."""
+        """Add the start or stop order that a run needs, if any."""
         if run.settled or run.stop_cause is not None:
-            resend_from = run.settled_at + SETTLED_GRACE_S if run.settled else 0.0
-            if now >= resend_from and now - run.stop_sent_at >= RESEND_AFTER_S:
+            stop_from = run.settled_at + SETTLED_GRACE_S if run.settled else 0.0
+            if now >= stop_from and now - run.stop_sent_at >= RESEND_AFTER_S:
                 run.stop_sent_at = now
                 orders.stops.append(StopOrder(task=run.task.name, run=run.number))
         elif run.committed and not run.listed and run is run.task.run and now - run.start_sent_at >= RESEND_AFTER_S:
@@ -121,10 +123,13 @@
 
 
 def _presumed_instance(worker: Worker) -> str:
-    """The life that runs were ordered for, of a worker that hasn't been heard of: its agent may hold it."""
-    lives = [run.instance for run in worker.runs.values() if run.instance not in worker.dead_instances]
-    return lives[-1] if lives else ""
+    """Return the instance that the runs of a worker belong to, if the worker has not reported to this primary yet.
+
+    Its agent may renew the task leases of that instance.
+    """
+    instances = [run.instance for run in worker.runs.values() if run.instance not in worker.dead_instances]
+    return instances[-1] if instances else ""
 
 
 def _ignore(reply: Struct | None) -> None:
-    """An announcement needs no answer."""
+    """Ignore the answer to a notification."""
--- a/pipitledge/scheduling/records.py
+++ b/pipitledge/scheduling/records.py
@@ -1,4 +1,4 @@
-"""Keys and records of jobs and tasks in replicated state."""
+"""Keys and encoding of job and task records in replicated state."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 def job_key(job_id: str) -> str:
-    """Key of a job's record."""
+    """Return the key of a job record."""
     return JOB_PREFIX + job_id
 
 
 def task_key(task: str) -> str:
-    """Key of a task's record."""
+    """Return the key of a task record, by the name of the task."""
     return TASK_PREFIX + task
 
 
 def encode_job(job: Job, keep_body: bool) -> bytes:
-    """A job's record; one that is over for good needs its body no more."""
+    """Encode the record of a job; the body is left out for a job that has ended and has no runs left."""
     return encode_record(
         JobRecord(
             id=job.id,
@@ -45,7 +45,7 @@
 
 
 def admitted_route_of(record: JobRecord) -> Route:
-    """The route of a job as it was at acceptance."""
+    """Return the route of a job as it was at acceptance, without host and path, which are not recorded."""
     return Route(
         name=record.route,
         host="",
@@ -59,7 +59,7 @@
 
 
 def encode_task(task: Task) -> bytes:
-    """A task's record."""
+    """Encode the record of a task; node and instance are empty while it is not assigned."""
     run = task.run
     assigned = run is not None and task.phase is TaskPhase.ASSIGNED
     return encode_record(
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class StoredTask:
-    """A task's record with its name."""
+    """A task record and the name that its key holds."""
 
     name: TaskName
     record: TaskRecord
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class StoredJob:
-    """A job's record, its body as read, and the records of its tasks."""
+    """A job record, its parsed body (None if the record has none), and the records of its tasks."""
 
     record: JobRecord
     submission: Submission | None
@@ -93,21 +93,21 @@
 
     @property
     def state(self) -> JobState:
-        """Where it stands."""
+        """State of the job according to its record."""
         return JobState(self.record.state)
 
 
 @dataclass(slots=True)
 class StoredState:
-    """All jobs in replicated state, and what could not be read."""
+    """All jobs in replicated state, and the keys that could not be used."""
 
     jobs: dict[str, StoredJob] = field(default_factory=dict)
-    orphans: list[str] = field(default_factory=list)  # keys of tasks without their job
-    unreadable: list[str] = field(default_factory=list)
+    orphans: list[str] = field(default_factory=list)  # keys of task records that have no job record
+    unreadable: list[str] = field(default_factory=list)  # keys of records that could not be decoded
 
 
 def read_state(state: Mapping[str, bytes]) -> StoredState:
-    """The jobs and tasks in replicated state."""
+    """Decode all job and task records in replicated state."""
     stored = StoredState()
     for key, value in state.items():
         if key.startswith(JOB_PREFIX):
--- a/pipitledge/scheduling/reports.py
+++ b/pipitledge/scheduling/reports.py
@@ -1,4 +1,4 @@
-"""Agents' reports: what is told of a worker is set against what should be there, and ends are taken into the state."""
+"""Handling of agent reports: compares the runs that a worker reports with the expected ones, and applies run ends."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
     WorkerInfo,
 )
 
-MAX_LISTED_ENDS = 500  # a worker lists no more ends at a time; a shorter list is whole
-MAX_ANSWER_DELAY_S = 0.25  # an answer waits so long at most for the commit of the ends in its report
-REFUSAL_CONFIRMATION_S = 0.5  # a refusal that no lists confirm for so long is followed by a stop
-START_GRACE_S = 0.5  # after its placing a run is there, or its order was lost
+MAX_LISTED_ENDS = 500  # a worker lists at most this many ends; a shorter list is complete
+MAX_ANSWER_DELAY_S = 0.25  # an answer waits at most this long for the commit of the run ends in its report
+REFUSAL_CONFIRMATION_S = 0.5  # a refusal that no newer lists confirm within this time is followed by a stop order
+START_GRACE_S = 0.5  # lists made later than this after placement show the run, unless its order was lost
 START = "start"
 STARTED = "started"
 
 
 class _DeferredAnswer:
-    """A report whose answer waits for a commit."""
+    """The answer to a report, while it waits for a commit; `reply` is None once it was sent."""
 
     __slots__ = ("due", "reply", "report", "worker")
 
@@ -49,21 +49,21 @@
 
 
 class ReportHandler:
-    """Takes agents' reports and answers with orders."""
+    """Applies agent reports and answers them with orders."""
 
     def __init__(self, context: Context, lifecycle: Lifecycle, orders: OrderSender) -> None:
-        """Work on the shared state."""
+        """Operate on the shared state of the scheduler."""
         self._context = context
         self._lifecycle = lifecycle
         self._orders = orders
         self._deferred: deque[_DeferredAnswer] = deque()
 
     def clear(self) -> None:
-        """Forget answers that wait."""
+        """Drop the answers that wait for a commit."""
         self._deferred.clear()
 
     def handle(self, report: AgentReport, reply: Reply) -> None:
-        """Take one report, and answer it."""
+        """Apply one report and answer it, or refer the agent to the primary."""
         context = self._context
         if not context.active or not context.replicator.is_primary():
             reply(NotPrimary(view=context.replicator.view))
@@ -71,7 +71,7 @@
         now = context.clock.now()
         worker = context.worker(report.node)
         worker.held_until = max(worker.held_until, now + context.timings.lease_expiry_s)
-        for instance in report.ended_instances:  # true whenever it was sent
+        for instance in report.ended_instances:  # holds however old the report is
             if instance not in worker.dead_instances:
                 self._lifecycle.end_instance(worker, instance)
         if worker.newer(report):
@@ -82,7 +82,7 @@
             reply(self._orders.answer(worker, report))
 
     def answer_overdue(self) -> None:
-        """Answer reports whose commits take too long: the agents' grants must go on."""
+        """Answer reports whose commit takes too long: the answer renews the lease grant of the agent."""
         now = self._context.clock.now()
         while self._deferred and (self._deferred[0].reply is None or self._deferred[0].due <= now):
             self._answer(self._deferred.popleft())
@@ -90,7 +90,7 @@
     # ---- answering
 
     def _answer_when_committed(self, worker: Worker, report: AgentReport, reply: Reply, now: float) -> None:
-        """Answer once the report's ends are committed, so that the answer acknowledges them."""
+        """Answer once the run ends in the report are committed, so that the answer acknowledges them."""
         instance, ends_seen = worker.instance, worker.ends_seen
         deferred = _DeferredAnswer(worker, report, reply, now + MAX_ANSWER_DELAY_S)
         self._deferred.append(deferred)
@@ -111,7 +111,7 @@
         else:
             reply(NotPrimary(view=self._context.replicator.view))
 
-    # ---- taking
+    # ---- applying reports
 
     def _apply_report(self, worker: Worker, report: AgentReport, now: float) -> None:
         context = self._context
@@ -131,11 +131,14 @@
             context.request_pass()
 
     def _is_of_current_term(self, report: AgentReport) -> bool:
-        """Whether the agent obeyed this primary when it made the report; a copy may have been long on its way."""
+        """Return whether the agent followed this primary when it made the report; reports can be delivered late."""
         return report.term == self._context.replicator.term
 
     def _enter_instance(self, worker: Worker, report: AgentReport, info: WorkerInfo) -> bool:
-        """Whether the report tells of the life that the worker is in; a new one counts once it has answered."""
+        """Return whether the report describes the current worker instance.
+
+        A new instance replaces the earlier ones once it has answered a lease call under this term.
+        """
         if info.instance == worker.instance:
             return True
         if info.instance in worker.dead_instances:
@@ -153,7 +156,7 @@
         return True
 
     def _apply_lists(self, worker: Worker, report: AgentReport, now: float) -> None:
-        """Set the worker's lists against its runs."""
+        """Compare the lists of running and finished tasks with the runs that the worker should have."""
         if report.hold_number < worker.hold_number:
             return
         worker.hold_number = report.hold_number
@@ -162,7 +165,7 @@
         self._apply_running(worker, report.running, now)
         self._apply_finished(worker, report.finished)
         if not self._is_of_current_term(report):
-            return  # its results are of an earlier primary's orders, which may have given others since
+            return  # its results answer orders of an earlier primary, and newer orders may have followed them
         complete = len(report.finished) < MAX_LISTED_ENDS
         if complete:
             finished_keys = {(end.task, end.run) for end in report.finished}
@@ -175,6 +178,7 @@
                     self._apply_refusal(worker, result)
 
     def _apply_running(self, worker: Worker, running: list[RunningTask], now: float) -> None:
+        """Apply the list of running tasks; runs in it that the worker should not have are stopped."""
         foreign: dict[tuple[str, int], ResourceRequest | None] = {}
         listed_tasks: set[str] = set()
         absent: list[Run] = []
@@ -199,12 +203,12 @@
             self._context.request_pass()
 
     def _resource_request_of(self, name: str) -> ResourceRequest | None:
-        """What a task needs, if it is of a job that is known."""
+        """Return the resource request of a task by its name; None if its job is unknown."""
         task_group = self._task_group_of(name)
         return task_group.resource_request if task_group is not None else None
 
     def _task_group_of(self, name: str) -> TaskGroup | None:
-        """The step of a task, if its job is known."""
+        """Return the task group of a task by its name; None if its job is unknown."""
         parsed = parse_task_name(name)
         job = self._context.jobs.get(parsed.job) if parsed is not None else None
         return (
@@ -212,11 +216,11 @@
         )
 
     def _apply_progress(self, worker: Worker, run: Run, entry: RunningTask, now: float) -> None:
-        """Take note of how far a run has come, and of its checkpoint."""
+        """Record the progress and the checkpoint of a run."""
         run.ever_listed = True
         self._lifecycle.record_checkpoint(run, entry.saved)
         if run.percent_hold_number == worker.hold_number:
-            return  # these lists are known
+            return  # these lists were applied before
         run.percent_hold_number = worker.hold_number
         run.percent_at = worker.hold_at
         if run.first_percent_at < 0.0:
@@ -230,7 +234,7 @@
             self._lifecycle.evidence.note_pace(run, worker, run.rate)
 
     def _apply_finished(self, worker: Worker, finished: list[FinishedTask]) -> None:
-        """Take in the ends that are new, in their order."""
+        """Apply the run ends that are new, in the order of their numbers."""
         instance = worker.instance
         for end in finished:
             if end.number <= worker.ends_seen:
@@ -243,7 +247,7 @@
                 self._apply_unassigned_success(end)
 
     def _apply_unassigned_success(self, end: FinishedTask) -> None:
-        """A run that this primary does not know of ended well: it counts where copies may run beside each other."""
+        """Complete a speculative task through a run that is not assigned in the state of this primary."""
         task_group = self._task_group_of(end.task)
         name = parse_task_name(end.task)
         if (
@@ -260,16 +264,16 @@
     # ---- results of orders
 
     def _release_settled(self, worker: Worker, report: AgentReport, finished_keys: set[tuple[str, int]]) -> None:
-        """Free the room of a done gang's members that are gone from the lists."""
+        """Free the resources of settled runs that are in neither list any more."""
         for run in list(worker.runs.values()):
-            gone = run.settled and not run.listed and report.hold_number > run.settled_hold_number
-            if gone and run.instance == worker.instance and (run.task.name, run.number) not in finished_keys:
+            has_ended = run.settled and not run.listed and report.hold_number > run.settled_hold_number
+            if has_ended and run.instance == worker.instance and (run.task.name, run.number) not in finished_keys:
                 self._lifecycle.run_ended(run, RunOutcome.DONE)
 
     def _apply_result(
         self, worker: Worker, result: OrderResult, report: AgentReport, finished_keys: set[tuple[str, int]]
     ) -> None:
-        """Take in how an order ended, where the lists are whole."""
+        """Apply the result of an order; the lists in the report are complete and do not show the run."""
         run = worker.runs.get(result.task)
         if run is None or run.number != result.run or run.instance != worker.instance or run.listed:
             return
@@ -288,7 +292,10 @@
             self._confirm_refusal(run)
 
     def _confirm_refusal(self, run: Run) -> None:
-        """A refused run may have been started late and stopped since: lists made after that tell, or a stop does."""
+        """Wait for newer lists to confirm a refusal, and request a stop if none do in time.
+
+        The refused run may have started late and may have been stopped since.
+        """
         now = self._context.clock.now()
         if run.refused_at < 0.0:
             run.refused_at = now
@@ -296,7 +303,7 @@
             self._lifecycle.request_stop(run, StopCause.REFUSED)
 
     def _apply_refusal(self, worker: Worker, result: OrderResult) -> None:
-        """A worker refused a start for certain: the run never was."""
+        """Apply a certain refusal of a start order: the run never existed."""
         run = worker.runs.get(result.task)
         if run is None or run.number != result.run or run.instance != worker.instance:
             return
--- a/pipitledge/scheduling/restore.py
+++ b/pipitledge/scheduling/restore.py
@@ -1,4 +1,4 @@
-"""Rebuilds jobs, steps and runs from replicated state when this node becomes primary."""
+"""Rebuilds jobs, task groups and runs from replicated state when this node becomes primary."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 class StateRestorer:
-    """Takes over from replicated state."""
+    """Rebuilds the state of the scheduler from the records in replicated state."""
 
     def __init__(self, context: Context, lifecycle: Lifecycle, admission: Admission) -> None:
-        """Work on the shared state."""
+        """Operate on the shared state of the scheduler."""
         self._context = context
         self._lifecycle = lifecycle
         self._admission = admission
 
     def restore(self, state: Mapping[str, bytes]) -> None:
-        """Make everything in the state known, and go on with it."""
+        """Restore all jobs from replicated state and continue them; delete task records that have no job."""
         stored = read_state(state)
         for key in stored.unreadable:
             self._context.log.warning("record_unreadable", step="restore", key=key)
@@ -34,7 +34,7 @@
             self._restore_job(job)
 
     def _restore_job(self, stored: StoredJob) -> None:
-        """Make one job known."""
+        """Restore one job with its tasks; of a job that was reduced to its final state only that is kept."""
         lifecycle = self._lifecycle
         if stored.submission is None:
             self._delete_task_records(stored.tasks)
@@ -56,7 +56,7 @@
 
     def _new_job(self, stored: StoredJob) -> Job:
         record: JobRecord = stored.record
-        assert stored.submission is not None, "a job without its body is over"
+        assert stored.submission is not None, "a job record without a body is of an ended job"
         clock = self._context.clock
         age_s = max(0.0, (self._context.ports.wall_ms() - record.accepted_wall_ms) / 1_000.0)
         return Job(
@@ -75,7 +75,7 @@
         )
 
     def _last_due_occurrence(self, job: Job) -> int:
-        """The last of the job's times that has come due by this node's time of day; -1: none."""
+        """Return the last occurrence that has come due by the wall clock of this node; -1 if none has."""
         submission = job.submission
         if not submission.repeat_count:
             return 0
@@ -86,7 +86,7 @@
         return min(submission.occurrences - 1, last)
 
     def _restore_task(self, job: Job, stored: StoredTask) -> None:
-        """Bring one task to where its record says it stands."""
+        """Restore one task from its record."""
         name, record = stored.name, stored.record
         task_group = job.task_groups.get((name.occurrence, name.stage))
         if task_group is None or name.index >= len(task_group.tasks):
@@ -104,7 +104,7 @@
             self._restore_run(task, record.node, record.instance)
 
     def _restore_run(self, task: Task, node: str, instance: str) -> None:
-        """A run may exist, and its order may have left."""
+        """Restore an assigned run; the earlier primary may have sent its start order."""
         now = self._context.clock.now()
         run = Run(
             task, task.last_run, node, instance, now, committed=True, start_sent=True, start_checkpoint=task.checkpoint
@@ -114,7 +114,7 @@
         self._lifecycle.allocate(run, self._context.worker(node))
 
     def _continue_job(self, job: Job) -> None:
-        """Queue what is due and does not run."""
+        """Recount the unfinished work of an open job, and queue what is due and not running."""
         for task_group in list(job.task_groups.values()):
             stages = job.submission.stages
             earlier = set(stages[task_group.index].depends_on)
@@ -138,7 +138,7 @@
         self._lifecycle.queue_if_ready(task_group)
 
     def _repair_gang(self, task_group: TaskGroup) -> None:
-        """Stop the rest of a gang's run that one member has left."""
+        """Stop the remaining runs of a gang if some of its members have none."""
         runs = list(task_group.runs())
         if not runs:
             gangs.level(task_group)
@@ -147,7 +147,7 @@
                 self._lifecycle.request_stop(run, StopCause.GANG_BROKEN)
 
     def _finish_ended_job(self, job: Job) -> None:
-        """Stop what may still run of a job that is over."""
+        """Stop the runs that an ended job may still have."""
         self._lifecycle.delete_idle_task_records(job)
         self._lifecycle.stop_runs(job)
         self._lifecycle.retire_if_over(job)
--- a/pipitledge/scheduling/run_monitor.py
+++ b/pipitledge/scheduling/run_monitor.py
@@ -1,4 +1,4 @@
-"""What passes with time: holds that lapse, runs that stand still or crawl, workers that are about to leave."""
+"""Periodic checks: expired task leases, stalled or slow runs, and workers that are about to leave."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 from pipitledge.scheduling.tasks import Run, StopCause
 from pipitledge.scheduling.workers import Worker
 
-STALL_TIMEOUT_S = 1.0  # without progress while others progress, and more for long tasks
-STALL_ESTIMATE_FRACTION = 0.15  # of a task's estimate
-RECENT_PROGRESS_S = 4.0  # lists are seconds old where no end comes
-MIN_RATE_OBSERVATION_S = 1.0  # of progress, before a run's rate is believed
-MOVE_FACTOR = 2.0  # a run is moved if it takes so many times as long where it is
-MOVE_SLACK_S = 0.5
-MAX_MOVES = 2  # of one task
-LEAVE_SLACK_S = 0.6  # before a worker leaves, what can be saved is stopped
-CERTAIN_OVERRUN_FACTOR = 1.5  # a run that needs so many times what is left can't end in time
-RUN_CHECK_INTERVAL_S = 0.5
+STALL_TIMEOUT_S = 1.0  # without progress, while tasks on other workers progress; longer for long tasks
+STALL_ESTIMATE_FRACTION = 0.15  # of the estimate of the task, added to the timeout
+RECENT_PROGRESS_S = 4.0  # lists can be seconds old as long as no run ends
+MIN_RATE_OBSERVATION_S = 1.0  # progress must be observed this long before the rate of a run is used
+MOVE_FACTOR = 2.0  # a run is moved if finishing here takes this many times as long as elsewhere
+MOVE_SLACK_S = 0.5  # and this much longer; the same slack applies to runs on leaving workers
+MAX_MOVES = 2  # per task
+LEAVE_SLACK_S = 0.6  # plus the stop time: how long before its worker leaves a run that can be saved is stopped
+CERTAIN_OVERRUN_FACTOR = 1.5  # a run whose estimated time is this many times the time left cannot end in time
+RUN_CHECK_INTERVAL_S = 0.5  # between two checks of all runs
 
 
 class RunMonitor:
-    """Looks after runs and workers from time to time."""
+    """Checks all workers at each tick, and their runs at a longer interval."""
 
     def __init__(self, context: Context, lifecycle: Lifecycle) -> None:
-        """Work on the shared state."""
+        """Operate on the shared state of the scheduler."""
         self._context = context
         self._lifecycle = lifecycle
         self._next_run_check = 0.0
 
     def clear(self) -> None:
-        """Look at everything at the next tick."""
+        """Check all runs at the next tick."""
         self._next_run_check = 0.0
 
     def tick(self) -> None:
-        """Look at all workers, and now and then at all runs."""
+        """Expire task leases, prepare for leaving workers, and check the runs when their interval is over."""
         now = self._context.clock.now()
         check_runs = now >= self._next_run_check
         if check_runs:
@@ -50,7 +50,7 @@
             if check_runs:
                 self._check_runs(worker, now)
 
-    # ---- runs that don't get on
+    # ---- stalled and slow runs
 
     def _check_runs(self, worker: Worker, now: float) -> None:
         for run in list(worker.runs.values()):
@@ -68,7 +68,7 @@
                 self._lifecycle.request_stop(run, StopCause.SLOW)
 
     def _stalled(self, worker: Worker, run: Run, now: float) -> bool:
-        """Whether a run stands still while work on other workers goes on."""
+        """Return whether a run makes no progress while runs on other workers do."""
         bounds = self._context.timings.bounds
         stall_timeout_s = (
             STALL_TIMEOUT_S
@@ -83,7 +83,7 @@
         return any(node != worker.node and now - at < RECENT_PROGRESS_S for node, at in last_progress_at.items())
 
     def _should_move(self, worker: Worker, run: Run, now: float) -> bool:
-        """Whether a run gets on so slowly that it had better start anew elsewhere."""
+        """Return whether a run is so slow that restarting it on another worker saves time."""
         stage = run.task.task_group.stage
         rate = run.rate
         if run.observed_s < MIN_RATE_OBSERVATION_S or rate <= 0.0 or run.task.moves >= MAX_MOVES:
@@ -101,7 +101,7 @@
         )
 
     def _fits_elsewhere(self, worker: Worker, run: Run, now: float) -> bool:
-        """Whether another worker could take the task at once."""
+        """Return whether another worker has the free resources to run the task at once."""
         task_group = run.task.task_group
         selector = task_group.stage.node_selector
         return any(
@@ -112,10 +112,14 @@
             for other in self._context.usable_workers(worker.service, now).workers
         )
 
-    # ---- workers that leave
+    # ---- leaving workers
 
     def _stop_before_leaving(self, worker: Worker, now: float) -> None:
-        """Save what can't end before the worker leaves, and start anew early what is lost anyway."""
+        """Stop the runs that cannot end before the worker leaves.
+
+        A run with checkpoints is stopped at the last moment, so that it saves as much as possible. One without is
+        stopped early, as its work is lost anyway, if another worker can restart it at once.
+        """
         left_s = worker.leaves_at - now
         last_moment = left_s <= self._context.timings.stop_s + LEAVE_SLACK_S
         for run in list(worker.runs.values()):
--- a/pipitledge/scheduling/scheduler.py
+++ b/pipitledge/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of jobs: a service of the primary, put together from its parts."""
+"""The job scheduler: a service that runs on the primary, assembled from the other modules of this package."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from pipitledge.wire.messages import AgentReport, ClientCall
 
 TICK_S = 0.1
-MIN_TICK_S = 0.005
+MIN_TICK_S = 0.005  # when an occurrence of a job comes due sooner than TICK_S
 
 
 def _no_agents() -> Sequence[str]:
@@ -29,7 +29,7 @@
 
 
 class Scheduler:
-    """Runs jobs on workers, while this node is primary."""
+    """Runs jobs on workers while this node is primary."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         identity: NodeIdentity,
         agents: Callable[[], Sequence[str]] = _no_agents,
     ) -> None:
-        """Act through `ports`; `agents` gives the addresses of the agents that are known, told of each new term."""
+        """Act through `ports`; `agents` returns the addresses of the agents to notify of each new term."""
         self._context = Context(ports, timings, identity)
         self._agents = agents
         self._lifecycle = Lifecycle(self._context)
@@ -56,22 +56,22 @@
 
     @property
     def context(self) -> Context:
-        """What is known while this node is primary; only to be read, for status."""
+        """The state of the scheduler while this node is primary; read-only, for status."""
         return self._context
 
     def register(self, handlers: Handlers) -> None:
-        """Answer clients' calls and agents' reports."""
+        """Register the handlers of client calls and agent reports."""
         handlers.on_call(ClientCall, self._calls.handle)
         handlers.on_call(AgentReport, self._reports.handle)
 
     def usage(self) -> tuple[int, bytes]:
-        """The queues' usage as published: a version that rises within a term, and a `QueueUsageReport`."""
+        """Return the published usage of the queues: a version, which rises within a term, and a `QueueUsageReport`."""
         return self._usage.current()
 
-    # ---- the role
+    # ---- primary role
 
     def activated(self, term: int, state: Mapping[str, bytes]) -> None:
-        """This node has become primary, and `state` is all of the replicated state."""
+        """Take over after this node has become primary; `state` is the complete replicated state."""
         self._reset()
         context = self._context
         context.active = True
@@ -84,7 +84,7 @@
         self._tick()
 
     def deactivated(self) -> None:
-        """This node is primary no longer: drop everything, answer nothing more."""
+        """Drop all state and timers: this node is no longer primary."""
         if self._context.active:
             self._context.log.info("scheduler_inactive")
         self._reset()
@@ -100,10 +100,10 @@
             self._timer.cancel()
             self._timer = None
 
-    # ---- time
+    # ---- periodic work
 
     def _tick(self) -> None:
-        """Do what time brings, again and again."""
+        """Do the periodic work, and schedule the next tick."""
         context = self._context
         if not context.active:
             return
--- a/pipitledge/scheduling/tasks.py
+++ b/pipitledge/scheduling/tasks.py
@@ -1,4 +1,4 @@
-"""Jobs, steps, tasks and runs, as the primary holds them in memory."""
+"""Jobs, task groups, tasks and runs, as the primary holds them in memory."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 from pipitledge.scheduling.job import Stage, Submission
 from pipitledge.wire.messages import JobState, TaskPhase
 
-MIN_OBSERVATION_S = 0.5  # of progress, before its rate means something
+MIN_OBSERVATION_S = 0.5  # progress must be observed this long before its rate is used
 
 
 class RunOutcome(enum.Enum):
     """How a run ended."""
 
     DONE = "done"
-    FAILED = "failed"  # through its own fault or the worker's
+    FAILED = "failed"  # because of the task itself or of its worker
     STOPPED = "stopped"
-    LAPSED = "lapsed"  # its worker's hold ran out
+    LAPSED = "lapsed"  # the task lease on its worker expired
     GANG_BROKEN = "broken"  # another member of its gang ended
-    GANG_INCOMPLETE = "alone"  # the other members of its gang did not come
-    INSTANCE_TERMINATED = "life over"  # its worker's life ended
-    REFUSED = "refused"  # its worker never started it
+    GANG_INCOMPLETE = "alone"  # the other members of its gang did not start in time
+    INSTANCE_TERMINATED = "life over"  # its worker instance terminated
+    REFUSED = "refused"  # its worker refused the start order
 
 
-_RUN_OUTCOMES = {ending.value: ending for ending in RunOutcome}
+_RUN_OUTCOMES = {outcome.value: outcome for outcome in RunOutcome}
 
 
 def run_outcome_of(how: str) -> RunOutcome:
-    """The ending that a worker's list names; one that is not known counts as stopped."""
+    """Return the outcome for the `how` of a finished run; an unknown text counts as stopped."""
     return _RUN_OUTCOMES.get(how, RunOutcome.STOPPED)
 
 
@@ -47,23 +47,23 @@
     SLOW = "slow"
     WORKER_LEAVING = "worker leaves"
     REFUSED = "start refused"
-    SUPERSEDED = "a copy runs instead"
+    SUPERSEDED = "a copy runs instead"  # another run of the task is used
 
 
 class ResourceRequest(Struct, frozen=True):
-    """What a task needs of its worker while it runs."""
+    """Resources that a task occupies on its worker while it runs; also used for the capacity of workers."""
 
-    cpu: int
+    cpu: int  # millicores
     memory_mb: int
     gpu: int
 
     def covers(self, other: ResourceRequest) -> bool:
-        """Whether it is at least `other` in everything."""
+        """Return whether every resource is at least that of `other`."""
         return self.cpu >= other.cpu and self.memory_mb >= other.memory_mb and self.gpu >= other.gpu
 
 
 class TaskName(Struct, frozen=True):
-    """The parts of a task's name."""
+    """The parts of a task name; occurrence, stage and index count from 0."""
 
     job: str
     occurrence: int
@@ -71,12 +71,12 @@
     index: int
 
     def __str__(self) -> str:
-        """The name as it is written on the wire."""
+        """Return the name as sent on the wire, such as `0123456789abcdef.0.2.15`."""
         return f"{self.job}.{self.occurrence}.{self.stage}.{self.index}"
 
 
 def parse_task_name(text: str) -> TaskName | None:
-    """The parts of a task's name, or None if it is none."""
+    """Split a task name into its parts; None if it is malformed."""
     parts = text.split(".")
     if len(parts) != 4 or not all(part.isdecimal() for part in parts[1:]):
         return None
@@ -85,48 +85,48 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Run:
-    """One run of a task that may exist on one life of one worker, and holds room there."""
+    """One run of a task on a worker instance; it occupies resources there until its end is known."""
 
     task: Task
     number: int
     node: str
     instance: str
     placed_at: float
-    committed: bool = False  # its record is in replicated state
-    start_sent: bool = False  # a start order may have left
+    committed: bool = False  # the task record that assigns it is committed
+    start_sent: bool = False  # a start order may have been sent
     start_sent_at: float = -math.inf
-    listed: bool = False  # in the worker's newest list of running tasks
-    ever_listed: bool = False  # was in such a list at some time
-    refused_at: float = -1.0  # when its worker was first told to have refused it, while that isn't certain
+    listed: bool = False  # in the worker's latest list of running tasks
+    ever_listed: bool = False  # has been in such a list at least once
+    refused_at: float = -1.0  # when a refusal that is not confirmed yet was first reported; -1: never
     stop_cause: StopCause | None = None
     stop_sent_at: float = -math.inf
-    start_checkpoint: str = ""  # the checkpoint that its start brings
-    checkpoint: str = ""  # the checkpoint it told last
-    checkpoint_at: float = 0.0  # when that was renewed, or its start
-    percent: float = 0.0
-    percent_at: float = -math.inf  # its percent was told by lists made at that time or later
-    percent_hold_number: int = 0  # number of the hold call that told it
-    progressed_at: float = 0.0  # it had come this far by then
+    start_checkpoint: str = ""  # sent with the start order; the run resumes from it
+    checkpoint: str = ""  # latest one that the run reported
+    checkpoint_at: float = 0.0  # when the checkpoint changed last; initially the time of placement
+    percent: float = 0.0  # latest reported progress
+    percent_at: float = -math.inf  # `percent` is from lists made at this time or later
+    percent_hold_number: int = 0  # number of the lease call that returned `percent`
+    progressed_at: float = 0.0  # when `percent` last increased, by this node's clock
     first_percent: float = 0.0
-    first_percent_at: float = -1.0  # when its progress was first known; -1: not yet
-    settled: bool = False  # its task is decided without it, only the end of its room is awaited
+    first_percent_at: float = -1.0  # when progress was first known; -1: not yet
+    settled: bool = False  # its gang is done; the run only occupies resources until its end is known
     settled_at: float = 0.0
-    settled_hold_number: int = 0  # lists up to this hold call may not show its end
+    settled_hold_number: int = 0  # lists of lease calls up to this number may still lack its end
 
     @property
     def observed_s(self) -> float:
-        """For how long its progress has been known, at least."""
+        """For how long the progress of the run has been observed, as a lower bound."""
         return self.percent_at - self.first_percent_at if self.first_percent_at >= 0.0 else 0.0
 
     @property
     def rate(self) -> float:
-        """Its progress in parts of its work per second, at most; 0 if not known."""
+        """Fraction of the work done per second, as an upper bound; 0 if not observed for long enough."""
         if self.observed_s < MIN_OBSERVATION_S:
             return 0.0
         return (self.percent - self.first_percent) / 100.0 / self.observed_s
 
     def remaining_s(self, now: float) -> float:
-        """How much longer it takes, roughly."""
+        """Estimate how much longer the run takes, by its rate or, if that is unknown, by the estimate of its stage."""
         rate = self.rate
         if rate > 0.0:
             return max(0.0, (1.0 - self.percent / 100.0) / rate - (now - self.percent_at))
@@ -136,124 +136,126 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Task:
-    """One task of a step at one of the job's times."""
+    """One task of a task group; it is retried in a new run until one ends well or too many have failed."""
 
     task_group: TaskGroup
     index: int
     name: str
     phase: TaskPhase = TaskPhase.WAITING
-    last_run: int = 0
+    last_run: int = 0  # number of its newest run; 0: none yet
     failures: int = 0
     checkpoint: str = ""
     run: Run | None = None
-    previous_runs: list[Run] = field(default_factory=list)  # that hold room still, beside a copy
-    has_record: bool = False  # a record of it exists
-    not_before: float = 0.0
+    previous_runs: list[Run] = field(
+        default_factory=list
+    )  # replaced by a speculative copy; they still occupy resources
+    has_record: bool = False  # whether replicated state has a record of it
+    not_before: float = 0.0  # not placed before this time: backoff after a failure or refusal
     avoided_nodes: set[str] = field(default_factory=set)  # nodes where it failed
-    refused_by: str = ""  # node that would not start it last
-    short_runs: int = 0  # of a lasting task: runs in a row that ended soon
+    refused_by: str = ""  # node that refused the last start
+    short_runs: int = 0  # of a long-running task: consecutive runs that ended early
     preempted_at: float = -math.inf
-    moves: int = 0
-    worked_s: float = 0.0  # that its runs took which ended by themselves
+    moves: int = 0  # how often it was moved off a slow worker
+    worked_s: float = 0.0  # total work of the runs that ended by themselves, done or failed
 
     def live_runs(self) -> list[Run]:
-        """Its runs that hold room."""
+        """Return the runs of the task that occupy resources."""
         return [*self.previous_runs, self.run] if self.run is not None else list(self.previous_runs)
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class TaskGroup:
-    """One step of a job at one of its times: the unit that waits in the queue."""
+    """The tasks of one stage in one occurrence of a job; the unit that waits in the queue."""
 
     job: Job
     occurrence: int
-    index: int
+    index: int  # of the stage
     stage: Stage
     resource_request: ResourceRequest
     tasks: list[Task] = field(default_factory=list)
-    waiting: dict[int, Task] = field(default_factory=dict)  # by index, in the order in which they wait
-    runs_per_node: dict[str, int] = field(default_factory=dict)  # tasks that hold room, by node
-    unfinished_tasks: int = 0
-    unmet_dependencies: int = 0  # steps it depends on that are not done
-    ready: bool = False
-    queued_at: float = 0.0  # since when some of its tasks wait
-    blocked_since: float = -1.0  # no room was found since then; -1: not blocked
-    requested_at: float = 0.0  # when the work of its time was asked for
-    measured_tasks: int = 0  # tasks whose ends told how long they take
-    measured_total_s: float = 0.0  # the sum of that
-    measured_max_s: float = 0.0  # the longest of that, failed tries included
-    latest_start: float = 0.0
-    drain_s: float = 0.0  # for how long the whole time would keep all workers of the service busy
-    deadline: float = 0.0  # of the whole time, to meet the objective
-    late_deadline: float = 0.0  # after it nothing is earned
-    checkpoint_percent: float = 0.0  # of a gang: progress at which its common checkpoint was told
-    next_preemption: float = 0.0
-    no_reservation_before: float = 0.0
+    waiting: dict[int, Task] = field(default_factory=dict)  # tasks to place, by index
+    runs_per_node: dict[str, int] = field(default_factory=dict)  # runs that occupy resources, by node
+    unfinished_tasks: int = 0  # tasks that are not done
+    unmet_dependencies: int = 0  # stages it depends on that are not done
+    ready: bool = False  # all dependencies are met; its tasks may be queued
+    queued_at: float = 0.0  # since when at least one of its tasks has been waiting
+    blocked_since: float = -1.0  # since when no worker has had enough free resources; -1: not blocked
+    requested_at: float = 0.0  # when the occurrence came due, or the job was accepted
+    measured_tasks: int = 0  # tasks with a known duration
+    measured_total_s: float = 0.0  # their total duration
+    measured_max_s: float = 0.0  # the longest duration, failed attempts included
+    latest_start: float = 0.0  # must start by then to meet the deadline
+    drain_s: float = 0.0  # time for which the rest of the occurrence would keep all workers of the service busy
+    deadline: float = 0.0  # of the occurrence, to meet the latency objective
+    late_deadline: float = 0.0  # a job that ends later has no value any more
+    checkpoint_percent: float = 0.0  # of a gang: progress at which its shared checkpoint was reported
+    next_preemption: float = 0.0  # preempts no runs before this time
+    no_reservation_before: float = 0.0  # reserves no workers before this time
 
     @property
     def done(self) -> bool:
-        """Whether all of its tasks have ended `done`."""
+        """Whether all tasks are done."""
         return self.unfinished_tasks == 0
 
     @property
     def gang(self) -> bool:
-        """Whether its tasks work only jointly."""
+        """Whether the tasks must all run at the same time."""
         return self.stage.gang
 
     def runs(self) -> Iterator[Run]:
-        """All runs of its tasks that hold room."""
+        """Yield the current run of each task that has one."""
         return (task.run for task in self.tasks if task.run is not None)
 
     @property
     def key(self) -> tuple[str, int, int]:
-        """What identifies it."""
+        """Unique key: job ID, occurrence and stage index."""
         return (self.job.id, self.occurrence, self.index)
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class Job:
-    """An accepted job that is open, or has runs left."""
+    """An accepted job that is open, or has ended but still has runs."""
 
     id: str
     route: str
     service: str
     submission: Submission
-    body: bytes
+    body: bytes  # as the client sent it
     accepted_wall_ms: int
-    order: int
+    order: int  # rises in the order of acceptance
     accepted_at: float
-    admitted_route: Route  # its route as it was at acceptance
+    admitted_route: Route  # the route as it was when the job was accepted
     state: JobState = JobState.OPEN
-    task_groups: dict[tuple[int, int], TaskGroup] = field(default_factory=dict)  # by (time, step)
-    next_occurrence: int = 0  # the first time that has not come due
+    task_groups: dict[tuple[int, int], TaskGroup] = field(default_factory=dict)  # by (occurrence, stage index)
+    next_occurrence: int = 0  # the first occurrence that has not come due
     completed_occurrences: int = 0
-    unfinished_task_groups: dict[int, int] = field(default_factory=dict)  # by time
-    started: bool = False
-    weight: float = 0.0
-    failed_nodes: set[str] = field(default_factory=set)
+    unfinished_task_groups: dict[int, int] = field(default_factory=dict)  # count by occurrence
+    started: bool = False  # a task has been assigned to a worker
+    weight: float = 0.0  # slots that it counts for in admission; 0: not known yet
+    failed_nodes: set[str] = field(default_factory=set)  # nodes on which tasks of it failed
 
     @property
     def open(self) -> bool:
-        """Whether it is neither completed, nor failed, nor cancelled."""
+        """Whether the job is neither completed nor failed nor cancelled."""
         return self.state is JobState.OPEN
 
     def tasks(self) -> Iterator[Task]:
-        """All tasks of the times that have come due."""
+        """Yield all tasks of the occurrences that have come due."""
         for task_group in self.task_groups.values():
             yield from task_group.tasks
 
     def live_runs(self) -> list[Run]:
-        """All runs of its tasks that hold room."""
+        """Return all runs of the job that occupy resources."""
         return [run for task in self.tasks() for run in task.live_runs()]
 
 
 def resource_request_of(stage: Stage) -> ResourceRequest:
-    """What each task of a step needs."""
+    """Return the resource request of each task of a stage."""
     return ResourceRequest(stage.cpu, stage.memory_limit_mb, stage.gpu)
 
 
 def new_task_group(job: Job, occurrence: int, index: int) -> TaskGroup:
-    """A step at one time, with its tasks, all waiting."""
+    """Create the task group of one stage in one occurrence; all its tasks are waiting."""
     stage = job.submission.stages[index]
     task_group = TaskGroup(
         job,
