--- a/pipitledge/scheduling/calls.py
+++ b/pipitledge/scheduling/calls.py
@@ -32,7 +32,7 @@
     """Answers the calls of clients."""
 
     def __init__(self, context: Context, lifecycle: Lifecycle, admission: Admission) -> None:
-        """Operate on the shared state of the scheduler."""
+        """Work on the shared state."""
         self._context = context
         self._lifecycle = lifecycle
         self._admission = admission
--- a/pipitledge/scheduling/lifecycle.py
+++ b/pipitledge/scheduling/lifecycle.py
@@ -27,7 +27,7 @@
     """Performs every state change of jobs, task groups, tasks and runs."""
 
     def __init__(self, context: Context) -> None:
-        """Operate on the shared state of the scheduler."""
+        """Work on the shared state."""
         self._context = context
         self._objectives = Objectives(context)
         self.evidence = Evidence(context)
--- a/pipitledge/scheduling/orders.py
+++ b/pipitledge/scheduling/orders.py
@@ -25,7 +25,7 @@
     """Collects the orders for each agent and sends them, pushed or as answers to reports."""
 
     def __init__(self, context: Context) -> None:
-        """Operate on the shared state of the scheduler."""
+        """Work on the shared state."""
         self._context = context
 
     def answer(self, worker: Worker, report: AgentReport) -> AgentOrders:
--- a/pipitledge/scheduling/reports.py
+++ b/pipitledge/scheduling/reports.py
@@ -52,7 +52,7 @@
     """Applies agent reports and answers them with orders."""
 
     def __init__(self, context: Context, lifecycle: Lifecycle, orders: OrderSender) -> None:
-        """Operate on the shared state of the scheduler."""
+        """Work on the shared state."""
         self._context = context
         self._lifecycle = lifecycle
         self._orders = orders
--- a/pipitledge/scheduling/restore.py
+++ b/pipitledge/scheduling/restore.py
@@ -17,7 +17,7 @@
     """Rebuilds the state of the scheduler from the records in replicated state."""
 
     def __init__(self, context: Context, lifecycle: Lifecycle, admission: Admission) -> None:
-        """Operate on the shared state of the scheduler."""
+        """Work on the shared state."""
         self._context = context
         self._lifecycle = lifecycle
         self._admission = admission
--- a/pipitledge/scheduling/run_monitor.py
+++ b/pipitledge/scheduling/run_monitor.py
@@ -24,7 +24,7 @@
     """Checks all workers at each tick, and their runs at a longer interval."""
 
     def __init__(self, context: Context, lifecycle: Lifecycle) -> None:
-        """Operate on the shared state of the scheduler."""
+        """Work on the shared state."""
         self._context = context
         self._lifecycle = lifecycle
         self._next_run_check = 0.0
@@ -117,8 +117,8 @@
     def _stop_before_leaving(self, worker: Worker, now: float) -> None:
         """Stop the runs that cannot end before the worker leaves.
 
-        A run with checkpoints is stopped at the last moment, so that it saves as much as possible. One without is
-        stopped early, as its work is lost anyway, if another worker can restart it at once.
+        A run that can be saved is stopped at the last moment. One that loses its work is stopped early if another
+        worker can restart it at once.
         """
         left_s = worker.leaves_at - now
         last_moment = left_s <= self._context.timings.stop_s + LEAVE_SLACK_S
--- a/tests/system/scheduling_cluster.py
+++ b/tests/system/scheduling_cluster.py
@@ -1,7 +1,7 @@
-"""A cluster for tests of the scheduler, in virtual time: model workers, real agents, and a primary.
+"""A cluster for the scheduler tests, in virtual time: model workers, real agents, and a primary.
 
-A judge looks at every start, with what only an onlooker knows, and writes down each rule that is broken. Replicated
-state is a fake: batches are committed after a delay, and a new primary finds those that were committed.
+A judge with a global view of the cluster checks every start and records each rule that is broken. Replicated state is a
+fake: batches are committed after a delay, and a new primary gets those that were committed.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from tests.system.virtual import Machine, Process, World
 
 HEARTBEAT_S = 1.5
-PROGRESS_INTERVAL_S = 0.02  # between two looks at a run's progress
+PROGRESS_INTERVAL_S = 0.02  # between two updates of the progress of a run
 SERVICE = "render"
 URGENT = Route("urgent", HOST, "/urgent/", SERVICE, priority=0, max_attempts=3, stretch=1.5, target_latency_ms=500)
 PLAIN = Route("plain", HOST, "/plain/", SERVICE, priority=1, max_attempts=3, stretch=3.0, target_latency_ms=1_000)
@@ -36,7 +36,7 @@
 
 @dataclass
 class Behaviour:
-    """What the tasks of a step are really like."""
+    """How the tasks of a job actually behave."""
 
     work_s: float = 1.0
     fails: Callable[[str, int, str], bool] = lambda task, run, node: False
@@ -44,14 +44,14 @@
 
 @dataclass
 class Outcome:
-    """Outcome of a call to the primary."""
+    """Result of a call to the primary."""
 
     reply: Struct | None = None
     may_have_run: bool = True
 
 
 class PrimaryCalls:
-    """Calls of one agent's process to whichever node is primary."""
+    """Calls from one agent process to the current primary."""
 
     def __init__(self, cluster: Cluster, process: Process) -> None:
         self._cluster = cluster
@@ -64,7 +64,7 @@
 
 
 class Primary:
-    """One life of a primary."""
+    """One primary, from its promotion until it is demoted."""
 
     def __init__(self, cluster: Cluster, process: Process) -> None:
         self.machine: Machine = process.machine
@@ -80,7 +80,7 @@
 
 
 class EventRecorder:
-    """A log that keeps what is written."""
+    """An event log that records all events."""
 
     def __init__(self) -> None:
         self.events: list[tuple[str, dict[str, object]]] = []
@@ -93,14 +93,14 @@
 
 
 class IgnoredViews:
-    """Membership that needs no views."""
+    """Membership that ignores the views it is offered."""
 
     def offer_view(self, view: View) -> None:
         pass
 
 
 class Cluster:
-    """Workers, their agents, and one primary at a time."""
+    """Workers with their agents, and at most one primary at a time."""
 
     def __init__(self, seed: int = 0, workers: int = 4, bounds: Bounds = BOUNDS, racks: int = 2) -> None:
         self.world = World(seed)
@@ -118,14 +118,14 @@
         self.wall_offset_ms = 0
         self._gangs = Gangs(self.world, self.judge, bounds.gang_ms / 1_000.0)
         self.agents: dict[str, Agent] = {}
-        self.disconnected_until: dict[str, float] = {}  # by node, when its link to others was last mended
+        self.disconnected_until: dict[str, float] = {}  # by node, when its link was last restored, or will be
         self.workers: list[ModelWorker] = []
         self._incarnations = 0
         for index in range(workers):
             self.add_worker(f"w{index}", ["a" if index % 2 else "b", f"r1-{index % racks}"])
 
     def add_worker(self, node: str, labels: list[str], cpu: int = 8_000, gpu: int = 4) -> ModelWorker:
-        """Add a worker, and the agent beside it."""
+        """Add a worker with its agent."""
         kind, rack = labels
         plan = WorkerPlan(node, SERVICE, (kind, rack), "z1", {"cpu": cpu, "memoryLimitMb": 16_384, "gpu": gpu})
         worker = ModelWorker(self.world, plan, False, self.bounds, self.judge, self._gangs)
@@ -154,20 +154,20 @@
         agent.start()
 
     def disconnect_agent(self, node: str, seconds: float) -> None:
-        """Cut an agent off from the primary for a while."""
+        """Disconnect an agent from the network for a while."""
         self.world.network.isolate(node)
         self.disconnected_until[node] = max(self.disconnected_until.get(node, 0.0), self.world.time + seconds)
-        self.world.after(seconds, self._mend)
+        self.world.after(seconds, self._reconnect)
 
-    def _mend(self) -> None:
-        """Mend the links whose time has come."""
+    def _reconnect(self) -> None:
+        """Restore the links between nodes that are no longer disconnected."""
         network = self.world.network
         for pair in sorted(network.cuts):
             if all(self.world.time >= self.disconnected_until.get(node, 0.0) for node in pair):
                 network.join(*pair)
 
     def reachable(self, node: str) -> bool:
-        """Whether nothing has been wrong with an agent's links of late."""
+        """Return whether the link of an agent has been up for at least the contact time."""
         mended = self.disconnected_until.get(node)
         return mended is None or self.world.time > mended + self.bounds.contact_ms / 1_000.0
 
@@ -186,7 +186,7 @@
     # ---- the primary
 
     def promote(self) -> Primary:
-        """A new primary takes over; the old one, if any, is gone."""
+        """Start a new primary; the old one, if any, is killed."""
         if self.primary is not None:
             self.demote()
         self.term += 1
@@ -197,7 +197,7 @@
         return self.primary
 
     def demote(self) -> None:
-        """The primary is no more."""
+        """Kill the primary; a random first part of its uncommitted batches is committed all the same."""
         old, self.primary = self.primary, None
         if old is not None:
             old.replicator.settle()
@@ -211,7 +211,7 @@
     # ---- clients
 
     def call(self, kind: CallKind, path: str, body: bytes = b"") -> list[Struct]:
-        """A client's call to the primary; the answer comes into the list."""
+        """Make a client call to the primary; its answer is appended to the returned list."""
         replies: list[Struct] = []
         if self.primary is not None:
             call = ClientCall(kind=int(kind), host=HOST, path=path, body=body)
@@ -221,7 +221,7 @@
     def submit(
         self, job: str, body: dict[str, Any], route: Route = PLAIN, behaviour: Behaviour | None = None
     ) -> list[Struct]:
-        """Submit a job."""
+        """Submit a job once."""
         body.setdefault("spec", f"spec of {job}")
         self.bodies[job] = body
         self.route_of[job] = route
@@ -229,29 +229,29 @@
         return self.call(CallKind.SUBMIT, route.path_prefix + job, json.dumps(body).encode())
 
     def submit_until_accepted(self, job: str, body: dict[str, Any], route: Route, behaviour: Behaviour) -> None:
-        """Submit a job again and again, as clients do, until it is accepted."""
+        """Submit a job repeatedly, as clients do, until it is accepted."""
         replies = self.submit(job, body, route, behaviour)
 
-        def look() -> None:
+        def check() -> None:
             if not any(isinstance(reply, ClientReply) and reply.status == 200 for reply in replies):
                 self.submit_until_accepted(job, body, route, behaviour)
 
-        self.world.after(0.3, look)
+        self.world.after(0.3, check)
 
     def cancel(self, job: str) -> None:
-        """Cancel a job; the time of the acknowledgement is kept."""
+        """Cancel a job, repeatedly until that is acknowledged, and record the time of the acknowledgement."""
         replies = self.call(CallKind.CANCEL, self.route_of[job].path_prefix + job)
 
-        def look() -> None:
+        def check() -> None:
             if any(isinstance(reply, ClientReply) and reply.status == 200 for reply in replies):
                 self.cancelled.setdefault(job, self.world.time)
             else:
                 self.cancel(job)
 
-        self.world.after(0.3, look)
+        self.world.after(0.3, check)
 
-    def ask(self, job: str) -> str:
-        """What a client is told of a job's state, once it is answered; an empty text: nothing."""
+    def job_state(self, job: str) -> str:
+        """Return the state of a job as a client gets it, or the status if it is not 200; empty without an answer."""
         replies = self.call(CallKind.STATE, self.route_of[job].path_prefix + job)
         self.world.run_while(lambda: not replies, 1.0)
         reply = replies[0] if replies else None
@@ -260,29 +260,29 @@
         return json.loads(reply.body)["state"] if reply.status == 200 else str(reply.status)
 
     def wait_for(self, job: str, state: str, limit: float) -> bool:
-        """Let time pass until a job shows that state, at most `limit` seconds."""
+        """Let time pass until a job is in that state, at most `limit` seconds; return whether it is."""
         end = self.world.time + limit
         while self.world.time < end:
-            if self.ask(job) == state:
+            if self.job_state(job) == state:
                 return True
             self.run(0.1)
         return False
 
-    # ---- what only an onlooker knows
+    # ---- global view, for the judge
 
     def stage(self, task: str) -> dict[str, Any]:
-        """The step of a task, with all that it leaves out."""
+        """Return the submitted stage of a task, with defaults for the fields that are left out."""
         job, _, step, _ = task.split(".")
-        given = self.bodies[job]["stages"][int(step)]
-        absent = {"cpu": 0, "memoryLimitMb": 0, "gpu": 0, "antiAffinity": 0, "nodeSelector": "", "affinity": ""}
+        submitted = self.bodies[job]["stages"][int(step)]
+        defaults = {"cpu": 0, "memoryLimitMb": 0, "gpu": 0, "antiAffinity": 0, "nodeSelector": "", "affinity": ""}
         flags = {"gang": False, "checkpoints": False, "longRunning": False, "speculative": False}
-        return {**absent, **flags, **given}
+        return {**defaults, **flags, **submitted}
 
     def behaviour(self, task: str) -> Behaviour:
         return self.behaviours[task.split(".")[0]]
 
     def runs_of(self, job: str) -> list[tuple[str, LiveRun]]:
-        """All runs of a job on workers that are up, with their nodes."""
+        """Return all runs of a job on workers that are up, with their nodes."""
         return [
             (worker.node, live)
             for worker in self.live_workers()
@@ -291,27 +291,27 @@
         ]
 
     def node_of_run(self, task: str, run: int) -> str:
-        """Where one run of a task is now."""
+        """Return the node that one run of a task is on; empty if it is on none."""
         places = self.runs_of(task.split(".")[0])
         return next((node for node, live in places if (live.task, live.run) == (task, run)), "")
 
     def node_of(self, task: str) -> str:
-        """Where a task runs now."""
+        """Return the node that a task runs on; empty if it does not run."""
         return next((worker.node for worker in self.live_workers() if task in worker.life.running), "")
 
 
 def started(cluster: Cluster, seed: int = 0) -> Cluster:
-    """A cluster whose agents have found their primary."""
+    """Promote a primary, and wait until the agents have found it."""
     cluster.promote()
     cluster.run(2.5)
     return cluster
 
 
 def job_id(number: int) -> str:
-    """An ID as clients choose them."""
+    """Return a job ID as clients choose them."""
     return f"{number:016x}"
 
 
 def is_reply(message: Struct) -> bool:
-    """Whether a message answers a client."""
+    """Return whether a message answers a client."""
     return isinstance(message, ClientReply | NotPrimary | AgentReport)
--- a/tests/system/test_scheduling.py
+++ b/tests/system/test_scheduling.py
@@ -1,4 +1,4 @@
-"""The scheduler, one promise at a time: each test has a cluster in virtual time, and no rule may be broken in it."""
+"""Tests of the scheduler in virtual time; in each of them the judge checks the rules of the whole cluster."""
 
 from __future__ import annotations
 
@@ -42,10 +42,10 @@
 )
 
 
-class Calls(SchedulingCase):
-    """What clients are answered."""
+class ClientCalls(SchedulingCase):
+    """Answers to client calls."""
 
-    def test_a_job_submitted_twice_is_one_job(self) -> None:
+    def test_job_submitted_twice_runs_once(self) -> None:
         self.make()
         self.submit(JOB, body(stage(3)))
         self.submit(JOB, body(stage(3)))
@@ -55,9 +55,9 @@
         self.assertEqual(
             [f"{JOB}.0.0.{index}" for index in range(3)], sorted(start[1] for start in self.starts_of(JOB))
         )
-        self.assertEqual("completed", self.cluster.ask(JOB))
+        self.assertEqual("completed", self.cluster.job_state(JOB))
 
-    def test_an_acceptance_is_answered_once_it_is_committed(self) -> None:
+    def test_submission_is_acknowledged_only_after_its_commit(self) -> None:
         cluster = self.make()
         self.primary.replicator.stalled = True
         replies = cluster.submit(JOB, body(stage()))
@@ -68,7 +68,7 @@
         self.assertEqual([200, 200], [status_of(replies), status_of(again)])
         self.assertIn(job_key(JOB), cluster.state)
 
-    def test_a_queue_that_does_not_exist_is_not_found(self) -> None:
+    def test_unknown_queue_is_not_found(self) -> None:
         cluster = self.make()
         content = json.dumps(body(stage())).encode()
         for kind in CallKind:
@@ -79,7 +79,7 @@
         self.assertEqual(404, status_of(replies))
         self.assertEqual([], [key for key in cluster.state if key.startswith(JOB_PREFIX)])
 
-    def test_a_bad_body_is_refused_with_its_place(self) -> None:
+    def test_invalid_body_is_rejected_with_the_path_of_the_wrong_field(self) -> None:
         cluster = self.make()
         cases: list[tuple[str, Any]] = [
             ("body", [1]),
@@ -94,19 +94,19 @@
             ("intervalMs", body(stage(), intervalMs=-1)),
             ("startAtMs", body(stage(), startAtMs=-1)),
         ]
-        for place, content in cases:
-            with self.subTest(place=place):
+        for path, content in cases:
+            with self.subTest(path=path):
                 replies = cluster.call(CallKind.SUBMIT, PLAIN.path_prefix + JOB, json.dumps(content).encode())
                 self.assertEqual(400, status_of(replies))
                 assert isinstance(replies[0], ClientReply)
                 error = json.loads(replies[0].body)["error"]
-                self.assertTrue(error.startswith(place + ":") or (place.startswith("$") and place in error), error)
+                self.assertTrue(error.startswith(path + ":") or (path.startswith("$") and path in error), error)
         replies = cluster.call(CallKind.SUBMIT, PLAIN.path_prefix + "no-id", json.dumps(body(stage())).encode())
         self.assertEqual(400, status_of(replies))
         cluster.route_of[JOB] = PLAIN
-        self.assertEqual("410", cluster.ask(JOB))
+        self.assertEqual("410", cluster.job_state(JOB))
 
-    def test_a_node_without_a_configuration_says_so(self) -> None:
+    def test_node_without_configuration_answers_unavailable(self) -> None:
         cluster = self.make()
         cluster.configuration = None
         replies = cluster.submit(JOB, body(stage()))
@@ -116,7 +116,7 @@
         cluster.run(2.0)
         self.assertEqual([], self.starts_of(JOB))
 
-    def test_a_bad_figure_of_a_step_is_named_as_its_client_wrote_it(self) -> None:
+    def test_negative_number_in_a_stage_is_rejected_under_its_json_name(self) -> None:
         cluster = self.make()
         for field in ("cpu", "memoryLimitMb", "gpu", "estimatedMs", "antiAffinity"):
             with self.subTest(field=field):
@@ -126,37 +126,37 @@
                 assert isinstance(replies[0], ClientReply)
                 self.assertEqual(f"stages[0].{field}: below 0", json.loads(replies[0].body)["error"])
 
-    def test_an_unknown_job_is_gone(self) -> None:
+    def test_unknown_job_is_answered_as_gone(self) -> None:
         cluster = self.make()
         for kind in (CallKind.STATE, CallKind.CANCEL):
             replies = cluster.call(kind, PLAIN.path_prefix + JOB)
             cluster.run(0.05)
             self.assertEqual(410, status_of(replies))
 
-    def test_states_follow_the_job(self) -> None:
+    def test_state_is_pending_then_running_then_completed(self) -> None:
         cluster = self.make(workers=1)
         self.submit(JOB, body(stage(cpu=WORKER_CPU)), 2.0)
         self.submit(OTHER, body(stage(cpu=WORKER_CPU)))
         self.wait_for_runs(JOB)
-        self.assertEqual(["running", "pending"], [cluster.ask(JOB), cluster.ask(OTHER)])
+        self.assertEqual(["running", "pending"], [cluster.job_state(JOB), cluster.job_state(OTHER)])
         count = cluster.call(CallKind.COUNT, PLAIN.path_prefix)
         cluster.run(0.05)
         assert isinstance(count[0], ClientReply)
         self.assertEqual({"pending": 1}, json.loads(count[0].body))
         self.assert_completes(OTHER)
 
-    def test_completed_is_shown_only_after_all_tasks_ended(self) -> None:
+    def test_completed_is_reported_only_after_all_tasks_are_done(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(2, cpu=WORKER_CPU)))
         slow = self.wait_for_runs(JOB, 2)[0][0]
         cluster.worker(slow).set_speed(0.3)
         self.wait_until(lambda: len(self.ends_of(JOB, "done")) == 1, 3.0)
         cluster.run(0.7)
-        self.assertEqual("running", cluster.ask(JOB))
+        self.assertEqual("running", cluster.job_state(JOB))
         self.assert_completes(JOB)
         self.assertEqual(2, len(self.ends_of(JOB, "done")))
 
-    def test_completed_is_shown_only_after_it_is_committed(self) -> None:
+    def test_completed_is_reported_only_after_its_commit(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage()))
         self.wait_for_runs(JOB)
@@ -165,33 +165,33 @@
         cluster.run(0.8)
         asked = cluster.call(CallKind.STATE, PLAIN.path_prefix + JOB)
         cluster.run(0.8)
-        self.assertEqual([], asked, "an answer rests on what is not committed")
+        self.assertEqual([], asked, "an answer depends on uncommitted state")
         self.primary.replicator.resume()
         cluster.run(0.05)
         self.assertEqual("completed", state_of(asked))
         self.assertEqual(JobState.COMPLETED, decode_record(cluster.state[job_key(JOB)], JobRecord).state)
 
-    def test_an_ended_job_is_told_of_for_long_enough(self) -> None:
+    def test_state_of_an_ended_job_is_kept_for_its_retention_time(self) -> None:
         bounds = msgspec.structs.replace(BOUNDS, status_s=8.0)
         cluster = self.make(bounds=bounds)
         self.submit(JOB, body(stage()))
         self.assert_completes(JOB)
         ended = cluster.world.time
         cluster.run(bounds.status_s)
-        self.assertEqual("completed", cluster.ask(JOB))
+        self.assertEqual("completed", cluster.job_state(JOB))
         cluster.promote()
         cluster.run(0.5)
-        self.assertEqual("completed", cluster.ask(JOB))
-        self.assertTrue(cluster.wait_for(JOB, "410", 2.0 * RETENTION_FACTOR * bounds.status_s), cluster.ask(JOB))
+        self.assertEqual("completed", cluster.job_state(JOB))
+        self.assertTrue(cluster.wait_for(JOB, "410", 2.0 * RETENTION_FACTOR * bounds.status_s), cluster.job_state(JOB))
         self.assertGreater(cluster.world.time - ended, bounds.status_s)
         cluster.run(0.1)
         self.assertNotIn(job_key(JOB), cluster.state)
 
 
 class Cancelling(SchedulingCase):
-    """A cancelled job comes to rest."""
+    """Cancelled jobs stop and do not start again."""
 
-    def test_running_tasks_are_stopped_and_nothing_starts_after(self) -> None:
+    def test_running_tasks_are_stopped_and_no_others_start(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(30, cpu=2_000), stage(2, dependsOn=[0])), 5.0)
         self.wait_for_runs(JOB, 16)
@@ -203,10 +203,10 @@
         self.assertEqual(16, len(self.ends_of(JOB, "stopped")))
         cluster.run(6.0)
         self.assertEqual(before, len(self.starts_of(JOB)))
-        self.assertEqual("cancelled", cluster.ask(JOB))
+        self.assertEqual("cancelled", cluster.job_state(JOB))
         self.assertEqual([], list(self.records()))
 
-    def test_a_start_in_the_air_is_stopped_too(self) -> None:
+    def test_start_order_in_flight_is_cancelled_too(self) -> None:
         cluster = self.make(workers=1)
         worker = cluster.workers[0]
         worker.unanswered = 1.0
@@ -219,7 +219,7 @@
         self.assertEqual([], cluster.runs_of(JOB))
         self.assertEqual([], list(self.records()))
 
-    def test_a_new_primary_stops_what_was_cancelled(self) -> None:
+    def test_new_primary_stops_the_runs_of_a_cancelled_job(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(4)), ENDLESS_S)
         self.wait_for_runs(JOB, 4)
@@ -228,36 +228,36 @@
         cluster.promote()
         cluster.run(3.0)
         self.assertEqual([], cluster.runs_of(JOB))
-        self.assertEqual("cancelled", cluster.ask(JOB))
+        self.assertEqual("cancelled", cluster.job_state(JOB))
 
 
-class Order(SchedulingCase):
-    """What must come first comes first."""
+class DependenciesAndDueTimes(SchedulingCase):
+    """Dependencies between stages, and due times of occurrences."""
 
-    def test_a_step_waits_for_all_that_it_depends_on(self) -> None:
+    def test_stage_waits_for_all_its_dependencies(self) -> None:
         self.make()
         self.submit(JOB, body(stage(3), stage(2), stage(2, dependsOn=[0, 1]), stage(1, dependsOn=[2])), 0.5)
         self.assert_completes(JOB)
         begun = {task: time for time, task, *_ in self.starts_of(JOB)}
         ended = {task: time for time, task, *_ in self.ends_of(JOB, "done")}
 
-        def of(times: dict[str, float], *stages: int) -> list[float]:
+        def times_of_stages(times: dict[str, float], *stages: int) -> list[float]:
             return [time for task, time in times.items() if int(task.split(".")[2]) in stages]
 
         self.assertEqual(8, len(begun))
-        self.assertGreater(min(of(begun, 2)), max(of(ended, 0, 1)))
-        self.assertGreater(min(of(begun, 3)), max(of(ended, 2)))
+        self.assertGreater(min(times_of_stages(begun, 2)), max(times_of_stages(ended, 0, 1)))
+        self.assertGreater(min(times_of_stages(begun, 3)), max(times_of_stages(ended, 2)))
 
-    def test_times_begin_when_they_are_due(self) -> None:
+    def test_occurrences_start_when_they_are_due(self) -> None:
         for ahead_ms in (100, 700):
             with self.subTest(ahead_ms=ahead_ms):
-                self.begin_times(ahead_ms)
+                self.check_occurrences(ahead_ms)
 
-    def begin_times(self, ahead_ms: int) -> None:
+    def check_occurrences(self, ahead_ms: int) -> None:
         cluster = self.make()
         start_ms = cluster.wall_ms() + ahead_ms
         content = body(stage(2), startAtMs=start_ms, intervalMs=500, repeatCount=4)
-        self.submit(JOB, content, 1.2)  # times overlap
+        self.submit(JOB, content, 1.2)  # occurrences overlap
         self.assert_completes(JOB)
         self.assertEqual(8, len(self.starts_of(JOB)))
         for time_s, task, *_ in self.starts_of(JOB):
@@ -265,19 +265,21 @@
             self.assertGreaterEqual(late_ms, 0.0, task)
             self.assertLess(late_ms, 300.0, task)
 
-    def test_a_new_primary_begins_no_time_early(self) -> None:
+    def test_new_primary_starts_no_occurrence_early(self) -> None:
         cluster = self.make()
         start_ms = cluster.wall_ms() + 1_000
         self.submit(JOB, body(stage(), startAtMs=start_ms, intervalMs=1_000, repeatCount=3), 0.3)
         cluster.run(1.5)
         cluster.promote()
         self.assert_completes(JOB)
-        self.assertEqual([f"{JOB}.{time}.0.0" for time in range(3)], [start[1] for start in self.starts_of(JOB)])
+        self.assertEqual(
+            [f"{JOB}.{occurrence}.0.0" for occurrence in range(3)], [start[1] for start in self.starts_of(JOB)]
+        )
         for time_s, task, *_ in self.starts_of(JOB):
             due_ms = start_ms + int(task.split(".")[1]) * 1_000
             self.assertGreaterEqual(1_700_000_000_000 + time_s * 1_000.0, due_ms, task)
 
-    def test_one_reading_of_the_clock_that_jumps_ahead_begins_nothing(self) -> None:
+    def test_single_clock_reading_that_jumps_ahead_starts_nothing_early(self) -> None:
         for reading in range(1, 12):
             with self.subTest(reading=reading):
                 cluster = self.make()
@@ -293,7 +295,7 @@
 
 
 class JumpingClock:
-    """A time of day of which one reading is far ahead."""
+    """A wall clock with one reading that is far ahead."""
 
     def __init__(self, wall_ms: Callable[[], int], reading: int) -> None:
         self._wall_ms = wall_ms
@@ -301,35 +303,35 @@
         self.readings = 0
 
     def __call__(self) -> int:
-        """The next reading."""
+        """Return the next reading."""
         self.readings += 1
         if self.readings > MAX_CLOCK_READINGS:
-            raise AssertionError("the clock is read without end")
+            raise AssertionError("the clock is read in an endless loop")
         return self._wall_ms() + (10_000 if self.readings == self._reading else 0)
 
 
-class Places(SchedulingCase):
-    """Tasks go where they may, and where it is best."""
+class Placement(SchedulingCase):
+    """Placement constraints and preferences."""
 
     def nodes_of(self, job: str) -> list[str]:
         return sorted(start[3] for start in self.starts_of(job))
 
-    def test_a_label_asked_for_is_kept(self) -> None:
+    def test_node_selector_is_respected(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(6, cpu=4_000, nodeSelector="a")))
         self.submit(OTHER, body(stage(nodeSelector="nobody")))
         self.assert_completes(JOB)
         self.assertEqual({"w1", "w3"}, set(self.nodes_of(JOB)))
-        self.assertEqual("pending", cluster.ask(OTHER))
+        self.assertEqual("pending", cluster.job_state(OTHER))
         self.assertEqual([], self.starts_of(OTHER))
 
-    def test_a_label_asked_for_goes_before_data_near_by(self) -> None:
+    def test_node_selector_goes_before_affinity(self) -> None:
         self.make()
-        self.submit(JOB, body(stage(2, nodeSelector="a", affinity="r1-0")))  # no worker has both
+        self.submit(JOB, body(stage(2, nodeSelector="a", affinity="r1-0")))  # no worker has both labels
         self.assert_completes(JOB)
         self.assertLessEqual(set(self.nodes_of(JOB)), {"w1", "w3"})
 
-    def test_no_more_tasks_of_a_step_run_on_one_worker_than_it_allows(self) -> None:
+    def test_anti_affinity_limits_the_tasks_of_a_stage_on_one_worker(self) -> None:
         self.make(workers=3)
         self.submit(JOB, body(stage(7, cpu=100, antiAffinity=2)), 1.5)
         self.wait_for_runs(JOB, 6)
@@ -337,13 +339,13 @@
         self.assertEqual(["w0", "w0", "w1", "w1", "w2", "w2"], sorted(node for node, _ in self.cluster.runs_of(JOB)))
         self.assert_completes(JOB)
 
-    def test_data_near_by_is_preferred_where_there_is_room(self) -> None:
+    def test_affinity_is_preferred_while_resources_are_free_there(self) -> None:
         self.make()
         self.submit(JOB, body(stage(4, cpu=3_000, affinity="r1-1")))
         self.assert_completes(JOB)
         self.assertEqual(["w1", "w1", "w3", "w3"], self.nodes_of(JOB))
 
-    def test_a_task_goes_far_where_there_is_no_room_near_by(self) -> None:
+    def test_task_goes_elsewhere_if_no_resources_are_free_near_its_data(self) -> None:
         self.make()
         self.submit(OTHER, body(stage(2, cpu=WORKER_CPU, nodeSelector="r1-1")), ENDLESS_S)
         self.wait_for_runs(OTHER, 2)
@@ -351,40 +353,42 @@
         self.wait_for_runs(JOB, limit=1.5)
         self.assertIn(self.nodes_of(JOB)[0], ("w0", "w2"))
 
-    def test_a_gang_of_one_rack_is_not_spread(self) -> None:
+    def test_same_rack_gang_runs_on_one_rack(self) -> None:
         self.make()
         self.submit(JOB, body(stage(4, cpu=3_000, gang=True)))
         self.assert_completes(JOB)
         self.submit(OTHER, body(stage(4, cpu=3_000, gang=True, sameRack=True)))
         self.assert_completes(OTHER)
-        self.assertEqual(["w0", "w1", "w2", "w3"], self.nodes_of(JOB), "the control spreads")
+        self.assertEqual(
+            ["w0", "w1", "w2", "w3"], self.nodes_of(JOB), "without sameRack the gang is expected to use all workers"
+        )
         self.assertIn(set(self.nodes_of(OTHER)), ({"w0", "w2"}, {"w1", "w3"}))
 
 
 class Gangs(SchedulingCase):
-    """Tasks that work only jointly."""
+    """Gangs: tasks that run together or not at all."""
 
-    def test_all_start_at_once_under_one_number(self) -> None:
+    def test_all_members_start_together_under_one_run_number(self) -> None:
         cluster = self.make()
         self.submit(OTHER, body(stage(cpu=WORKER_CPU)), 2.0)
         self.wait_for_runs(OTHER)
         self.submit(JOB, body(stage(4, cpu=WORKER_CPU, gang=True)))
         cluster.run(1.0)
-        self.assertEqual([], self.starts_of(JOB), "a part of it started")
+        self.assertEqual([], self.starts_of(JOB), "only part of the gang started")
         self.assert_completes(JOB)
         times = [start[0] for start in self.starts_of(JOB)]
         self.assertLess(max(times) - min(times), 0.1)
         self.assertEqual([1] * 4, [start[2] for start in self.starts_of(JOB)])
         self.assertGreater(min(times), self.ends_of(OTHER, "done")[0][0])
 
-    def test_one_that_never_fits_does_not_start(self) -> None:
+    def test_gang_that_never_fits_does_not_start(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(5, cpu=WORKER_CPU, gang=True)))
         cluster.run(3.0)
         self.assertEqual([], self.starts_of(JOB))
-        self.assertEqual("pending", cluster.ask(JOB))
+        self.assertEqual("pending", cluster.job_state(JOB))
 
-    def test_all_go_on_from_one_saved_text(self) -> None:
+    def test_all_members_resume_from_one_checkpoint(self) -> None:
         self.make()
         self.submit(
             JOB,
@@ -399,7 +403,7 @@
         self.assertEqual(1, len({start[4] for start in again}))
         self.assertTrue(again[0][4])
 
-    def test_one_end_counts_for_all(self) -> None:
+    def test_one_member_done_completes_the_gang(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(3, cpu=WORKER_CPU, gang=True), stage(1, dependsOn=[0])), 1.5)
         node = self.wait_for_runs(JOB, 3)[0][0]
@@ -411,7 +415,7 @@
         cluster.run(9.0)
         self.assertEqual(4, len(self.starts_of(JOB)))
 
-    def test_room_of_a_settled_member_is_held_until_its_end_is_known(self) -> None:
+    def test_settled_member_occupies_resources_until_its_end_is_known(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(3, cpu=WORKER_CPU, gang=True)), 1.5)
         node = self.wait_for_runs(JOB, 3)[0][0]
@@ -423,7 +427,7 @@
         cluster.run(9.0)
         self.assertEqual(WORKER_CPU, known.free_cpu)
 
-    def test_it_starts_again_only_when_all_of_it_is_over(self) -> None:
+    def test_gang_restarts_only_when_all_its_runs_have_ended(self) -> None:
         cluster = self.make()
         self.submit(
             JOB,
@@ -443,18 +447,18 @@
         self.assertLess(self.ends_of(JOB, "failed")[0][0], mended - 2.0)
         self.assertGreater(min(start[0] for start in again), mended)
 
-    def test_its_failed_runs_are_counted_as_one(self) -> None:
+    def test_failures_of_members_in_one_run_count_as_one_attempt(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(3, gang=True)), 0.5, fails=lambda task, run, node: True)
-        self.assertTrue(cluster.wait_for(JOB, "failed", 20.0), cluster.ask(JOB))
+        self.assertTrue(cluster.wait_for(JOB, "failed", 20.0), cluster.job_state(JOB))
         self.assertEqual({1, 2, 3}, {start[2] for start in self.starts_of(JOB)})
         self.assertEqual(9, len(self.starts_of(JOB)))
 
 
 class Runs(SchedulingCase):
-    """Ends of runs, and what follows them."""
+    """Outcomes of runs, retries and checkpoints."""
 
-    def test_a_lasting_task_is_restarted_until_it_is_cancelled(self) -> None:
+    def test_long_running_task_is_restarted_until_it_is_cancelled(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(longRunning=True)), 1.0, fails=first_runs_fail(PLAIN.max_attempts + 1))
         self.wait_until(lambda: len(self.starts_of(JOB)) == PLAIN.max_attempts + 2, 20.0)
@@ -463,30 +467,30 @@
             cluster.run(4.0)
             self.finish(JOB, how)
             self.wait_until(lambda before=before: len(self.starts_of(JOB)) == before + 1, 6.0)  # type: ignore[misc]
-            self.assertEqual("running", cluster.ask(JOB))
+            self.assertEqual("running", cluster.job_state(JOB))
         cluster.cancel(JOB)
         cluster.run(1.0)
         before = len(self.starts_of(JOB))
         cluster.run(8.0)
         self.assertEqual([], cluster.runs_of(JOB))
         self.assertEqual(before, len(self.starts_of(JOB)))
-        self.assertEqual("cancelled", cluster.ask(JOB))
+        self.assertEqual("cancelled", cluster.job_state(JOB))
 
-    def test_a_task_that_failed_often_enough_fails_its_job(self) -> None:
+    def test_task_without_attempts_left_fails_its_job(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(), stage(dependsOn=[0])), 0.5, fails=lambda task, run, node: True)
-        self.assertTrue(cluster.wait_for(JOB, "failed", 20.0), cluster.ask(JOB))
+        self.assertTrue(cluster.wait_for(JOB, "failed", 20.0), cluster.job_state(JOB))
         cluster.run(5.0)
         self.assertEqual([1, 2, 3], [start[2] for start in self.starts_of(JOB)])
         self.assertEqual(PLAIN.max_attempts, len(self.ends_of(JOB, "failed")))
 
-    def test_a_failure_less_than_allowed_does_not(self) -> None:
+    def test_task_that_succeeds_on_its_last_attempt_completes_its_job(self) -> None:
         self.make()
         self.submit(JOB, body(stage()), 0.5, fails=first_runs_fail(PLAIN.max_attempts - 1))
         self.assert_completes(JOB)
         self.assertEqual(PLAIN.max_attempts, len(self.starts_of(JOB)))
 
-    def test_other_ends_count_as_no_attempt(self) -> None:
+    def test_lapsed_and_stopped_runs_count_as_no_attempt(self) -> None:
         for how in ("lapsed", "stopped"):
             with self.subTest(how=how):
                 self.make()
@@ -497,18 +501,18 @@
                 self.assert_completes(JOB)
                 self.assertEqual(PLAIN.max_attempts + 2, len(self.starts_of(JOB)))
 
-    def test_a_run_is_ordered_only_after_its_commit(self) -> None:
+    def test_start_order_is_sent_only_after_the_commit(self) -> None:
         cluster = self.make()
         self.primary.replicator.stalled = True
         cluster.submit(JOB, body(stage(3)))
-        cluster.run(3.0)  # reports are answered meanwhile
+        cluster.run(3.0)  # reports are answered in the meantime
         self.assertEqual([], self.starts_of(JOB))
         self.assertEqual({}, cluster.state)
         self.primary.replicator.resume()
         self.assert_completes(JOB)
         self.assertEqual(3, len(self.starts_of(JOB)))
 
-    def test_the_saved_text_goes_to_the_next_run(self) -> None:
+    def test_checkpoint_is_passed_to_the_next_run(self) -> None:
         cluster = self.make()
         self.submit(JOB, body(stage(checkpoints=True)), 2.0)
         self.submit(OTHER, body(stage()), 2.0)
@@ -522,14 +526,14 @@
         self.assertEqual(["", saved], [start[4] for start in self.starts_of(JOB)])
         self.assertEqual(["", ""], [start[4] for start in self.starts_of(OTHER)])
 
-    def test_the_saved_text_outlives_the_primary(self) -> None:
+    def test_checkpoint_survives_a_change_of_primary(self) -> None:
         cluster = self.make(workers=1)
         self.submit(OTHER, body(stage(cpu=1_000)), ENDLESS_S)
         self.submit(JOB, body(stage(cpu=7_000, checkpoints=True)), 2.0)
         self.wait_for_runs(JOB)
         cluster.run(1.2)
         node, live = cluster.runs_of(JOB)[0]
-        self.submit(THIRD, body(stage(cpu=7_000)), 1.0, URGENT)  # it goes first
+        self.submit(THIRD, body(stage(cpu=7_000)), 1.0, URGENT)  # it is placed first
         cluster.worker(node).finish(live, "lapsed")
         self.wait_for_runs(THIRD)
         cluster.promote()
@@ -537,10 +541,10 @@
         self.assertTrue(live.saved)
         self.assertEqual(["", live.saved], [start[4] for start in self.starts_of(JOB)])
 
-    def test_ends_are_acknowledged_only_after_their_commit(self) -> None:
+    def test_run_ends_are_acknowledged_only_after_their_commit(self) -> None:
         cluster = self.make(workers=1)
         worker = cluster.workers[0]
-        self.submit(OTHER, body(stage()), ENDLESS_S)  # so that its list is asked for all the time
+        self.submit(OTHER, body(stage()), ENDLESS_S)  # so that the agent keeps asking for the lists of the worker
         self.submit(JOB, body(stage()))
         self.wait_for_runs(JOB)
         self.primary.replicator.stalled = True
@@ -548,7 +552,7 @@
         cluster.run(3.0)
         self.assertEqual([FIRST_TASK], [end.task for end in worker.life.ends])
         self.assertNotIn(FIRST_TASK, cluster.judge.noted_done)
-        self.assertEqual(1, len(cluster.runs_of(OTHER)), "grants go on meanwhile")
+        self.assertEqual(1, len(cluster.runs_of(OTHER)), "lease grants must be renewed in the meantime")
         self.primary.replicator.resume()
         cluster.run(3.0)
         self.assertEqual([], worker.life.ends)
--- a/tests/system/test_scheduling_queues.py
+++ b/tests/system/test_scheduling_queues.py
@@ -120,7 +120,7 @@
         self.assertEqual(stopped[0][4], self.starts_of(OTHER)[0][3])
         self.assert_completes(OTHER)
         self.wait_until(lambda: len(cluster.runs_of(JOB)) == 4, 5.0)
-        self.assertEqual("running", cluster.ask(JOB))
+        self.assertEqual("running", cluster.job_state(JOB))
 
     def test_room_is_made_in_the_pass_that_finds_none(self) -> None:
         cluster = self.make()
@@ -140,7 +140,7 @@
         self.submit(OTHER, body(stage(cpu=WORKER_CPU)))
         cluster.run(4.0)
         self.assertEqual([], self.ends_of(JOB, "stopped"))
-        self.assertEqual("pending", cluster.ask(OTHER))
+        self.assertEqual("pending", cluster.job_state(OTHER))
 
     def test_urgent_work_is_not_stopped_for_urgent_work(self) -> None:
         cluster = self.make()
--- a/tests/system/test_scheduling_random.py
+++ b/tests/system/test_scheduling_random.py
@@ -1,4 +1,4 @@
-"""Days of random trouble: whatever happens, no rule is broken, and in the end every job is done."""
+"""Random faults in virtual time: no rule may be broken, and in the end every job must have ended as expected."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from tests.system.scheduling_cluster import PLAIN, URGENT, Behaviour, Cluster, job_id, started
 
-TROUBLE_S = 25.0
+FAULTS_S = 25.0
 SETTLE_S = 75.0
 
 
@@ -46,33 +46,33 @@
     return body
 
 
-def random_behaviour(random: Random, poison: bool) -> Behaviour:
-    share = 1.0 if poison else random.choice([0.0, 0.0, 0.15])
+def random_behaviour(random: Random, always_fails: bool) -> Behaviour:
+    share = 1.0 if always_fails else random.choice([0.0, 0.0, 0.15])
     seed = random.random()
 
     def fails(task: str, run: int, node: str) -> bool:
-        return run % 3 != 0 and Random(f"{seed}{task}{run}").random() < share if not poison else True
+        return run % 3 != 0 and Random(f"{seed}{task}{run}").random() < share if not always_fails else True
 
     return Behaviour(random.uniform(0.2, 2.5), fails)
 
 
 class Day:
-    """One day of random trouble."""
+    """One simulated cluster with random jobs and random faults."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
         self.cluster = started(Cluster(seed, workers=self.random.choice([3, 5, 6])))
-        self.poison: set[str] = set()
+        self.always_fails: set[str] = set()
         self.cancelled: set[str] = set()
-        self.lasting: set[str] = set()
+        self.long_running: set[str] = set()
         self.jobs: list[str] = []
-        self.end = self.cluster.world.time + TROUBLE_S
+        self.end = self.cluster.world.time + FAULTS_S
 
     def play(self) -> None:
         self._next_job()
-        self._next_trouble()
-        self.cluster.run(TROUBLE_S)
-        self.cluster.run(8.0)  # troubles under way end
+        self._next_fault()
+        self.cluster.run(FAULTS_S)
+        self.cluster.run(8.0)  # faults in progress end
         for worker in self.cluster.workers:
             worker.unanswered, worker.fails_all, worker.unhealthy, worker.dark = 0.0, False, False, False
             worker.set_speed(1.0)
@@ -84,41 +84,41 @@
             return
         job = job_id(len(self.jobs) + 1)
         self.jobs.append(job)
-        poison = self.random.random() < 0.06
-        if poison:
-            self.poison.add(job)
+        always_fails = self.random.random() < 0.06
+        if always_fails:
+            self.always_fails.add(job)
         route = self.random.choice([URGENT, PLAIN, PLAIN])
         body = random_job(self.random, cluster.wall_ms())
-        lasts = not poison and self.random.random() < 0.06
-        if lasts:
-            self.lasting.add(job)
+        is_long_running = not always_fails and self.random.random() < 0.06
+        if is_long_running:
+            self.long_running.add(job)
             body["stages"][-1].update(longRunning=True, count=1, cpu=500, gpu=0, gang=False)
-        cluster.submit_until_accepted(job, body, route, random_behaviour(self.random, poison))
-        if not lasts and self.random.random() < 0.1:
+        cluster.submit_until_accepted(job, body, route, random_behaviour(self.random, always_fails))
+        if not is_long_running and self.random.random() < 0.1:
             self.cancelled.add(job)
             cluster.world.after(self.random.uniform(0.2, 3.0), lambda: cluster.cancel(job))
         cluster.world.after(self.random.expovariate(1.2), self._next_job)
 
-    def _next_trouble(self) -> None:
+    def _next_fault(self) -> None:
         if self.cluster.world.time > self.end:
             return
-        trouble = self.random.choice(
+        fault = self.random.choice(
             [
                 self._crash,
                 self._drain,
                 self._unanswered,
-                self._worker_cut,
-                self._agent_cut,
-                self._agent_killed,
-                self._new_primary,
-                self._stall,
-                self._grey,
-                self._slow,
+                self._cut_worker_off,
+                self._cut_agent_off,
+                self._kill_agent,
+                self._replace_primary,
+                self._stall_commits,
+                self._fail_all,
+                self._slow_down,
                 self._unhealthy,
             ]
         )
-        trouble()
-        self.cluster.world.after(self.random.uniform(0.5, 3.0), self._next_trouble)
+        fault()
+        self.cluster.world.after(self.random.uniform(0.5, 3.0), self._next_fault)
 
     def _crash(self) -> None:
         worker = self.random.choice(self.cluster.workers)
@@ -135,21 +135,21 @@
         worker.unanswered = 0.4
         self.cluster.world.after(3.0, lambda: setattr(worker, "unanswered", 0.0))
 
-    def _worker_cut(self) -> None:
+    def _cut_worker_off(self) -> None:
         worker = self.random.choice(self.cluster.workers)
         worker.dark = True
         self.cluster.world.after(self.random.uniform(0.5, 8.0), lambda: setattr(worker, "cut_off", False))
 
-    def _agent_cut(self) -> None:
+    def _cut_agent_off(self) -> None:
         node = self.random.choice(self.cluster.workers).node
         self.cluster.disconnect_agent(node, self.random.uniform(0.5, 9.0))
 
-    def _agent_killed(self) -> None:
+    def _kill_agent(self) -> None:
         machine = self.cluster.world.machines[self.random.choice(self.cluster.workers).node]
         machine.kill()
         self.cluster.world.after(self.random.uniform(0.1, 3.0), lambda: None if machine.running else machine.start())
 
-    def _new_primary(self) -> None:
+    def _replace_primary(self) -> None:
         self.cluster.demote()
         self.cluster.world.after(self.random.uniform(0.1, 2.0), self._promote)
 
@@ -157,18 +157,18 @@
         if self.cluster.primary is None:
             self.cluster.promote()
 
-    def _stall(self) -> None:
+    def _stall_commits(self) -> None:
         primary = self.cluster.primary
         if primary is not None:
             primary.replicator.stalled = True
             self.cluster.world.after(self.random.uniform(0.2, 1.5), primary.replicator.resume)
 
-    def _grey(self) -> None:
+    def _fail_all(self) -> None:
         worker = self.random.choice(self.cluster.workers)
         worker.fails_all = True
         self.cluster.world.after(1.0, lambda: setattr(worker, "fails_all", False))
 
-    def _slow(self) -> None:
+    def _slow_down(self) -> None:
         worker = self.random.choice(self.cluster.workers)
         worker.set_speed(self.random.choice([0.0, 0.15]))
         self.cluster.world.after(4.0, lambda: worker.set_speed(1.0))
@@ -179,28 +179,28 @@
         self.cluster.world.after(2.0, lambda: setattr(worker, "unhealthy", False))
 
 
-class CalmDay(Day):
-    """One day on which nothing goes wrong."""
+class DayWithoutFaults(Day):
+    """Random jobs without any faults."""
 
-    def _next_trouble(self) -> None:
+    def _next_fault(self) -> None:
         pass
 
 
 def expected_states(day: Day, job: str) -> set[str]:
-    """The states that a job may show in the end."""
+    """Return the states that a job may have in the end."""
     if job in day.cancelled:
         return {"cancelled", "completed", "failed"}
     failed_ends = sum(how == "failed" and task.startswith(job) for _, task, _, how, _ in day.cluster.judge.ends)
     attempts = day.cluster.route_of[job].max_attempts
-    if job in day.poison:
+    if job in day.always_fails:
         return {"failed"}
-    if job in day.lasting:
+    if job in day.long_running:
         return {"running", "failed"}
     return {"completed", "failed"} if failed_ends >= attempts else {"completed"}
 
 
 class RandomDays(unittest.TestCase):
-    def test_no_rule_is_broken_and_all_jobs_end(self) -> None:
+    def test_random_faults_break_no_rule_and_all_jobs_end(self) -> None:
         for seed in range(12):
             with self.subTest(seed=seed):
                 self.play(seed)
@@ -213,36 +213,36 @@
         end = cluster.world.time + SETTLE_S
         unfinished = list(day.jobs)
         while unfinished and cluster.world.time < end:
-            unfinished = [job for job in unfinished if cluster.ask(job) not in expected_states(day, job)]
+            unfinished = [job for job in unfinished if cluster.job_state(job) not in expected_states(day, job)]
             cluster.run(0.5)
-        self.assertEqual({}, {job: cluster.ask(job) for job in unfinished})
-        self.check_lasting(day)
+        self.assertEqual({}, {job: cluster.job_state(job) for job in unfinished})
+        self.check_long_running(day)
         self.assertEqual([], cluster.judge.broken)
         self.assertGreater(len(cluster.judge.starts), len(day.jobs))
-        self.assertEqual([], [key for key in cluster.state if key.startswith("task/")], "records left behind")
+        self.assertEqual([], [key for key in cluster.state if key.startswith("task/")], "task records were not deleted")
 
-    def test_on_a_calm_day_no_run_lapses_or_waits_alone_for_its_gang(self) -> None:
+    def test_without_faults_no_run_lapses_or_misses_its_gang(self) -> None:
         for seed in range(100, 104):
             with self.subTest(seed=seed):
-                day = CalmDay(seed)
+                day = DayWithoutFaults(seed)
                 day.play()
                 ends = [how for _, _, _, how, _ in day.cluster.judge.ends]
                 self.assertGreater(ends.count("done"), len(day.jobs))
                 self.assertEqual(set(), set(ends) & {"alone", "lapsed"})
                 self.assertEqual([], day.cluster.judge.broken)
 
-    def check_lasting(self, day: Day) -> None:
-        """Lasting tasks are at work until their job is cancelled, and then nothing of it is left."""
+    def check_long_running(self, day: Day) -> None:
+        """Check that long-running tasks run until their job is cancelled, and that no run of it is left then."""
         cluster = day.cluster
         cluster.run(5.0)
-        lasting = [job for job in day.lasting if cluster.ask(job) == "running"]
-        for job in lasting:
-            self.assertTrue(cluster.runs_of(job), f"{job} is not at work")
+        long_running = [job for job in day.long_running if cluster.job_state(job) == "running"]
+        for job in long_running:
+            self.assertTrue(cluster.runs_of(job), f"{job} has no run")
             cluster.cancel(job)
         cluster.run(2.0)
-        for job in lasting:
+        for job in long_running:
             self.assertEqual([], cluster.runs_of(job))
-            self.assertEqual("cancelled", cluster.ask(job))
+            self.assertEqual("cancelled", cluster.job_state(job))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_scheduling_reports.py
+++ b/tests/system/test_scheduling_reports.py
@@ -1,4 +1,4 @@
-"""Reports that come late, from agents that are gone, or with refusals that lists must confirm: a scripted agent."""
+"""Agent reports that are late, from replaced processes, or with refusals to be confirmed; the agent is scripted."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class ImmediateReplicator:
-    """Replicated state where each batch is committed at once."""
+    """Replicated state that commits each batch at once."""
 
     def __init__(self) -> None:
         self.term = TERM
@@ -74,14 +74,14 @@
 
 
 class ScriptedAgents(unittest.TestCase):
-    """A primary whose agents are played by the test."""
+    """A test case with a primary; the test plays the agent."""
 
     def setUp(self) -> None:
         self.world = World(1)
         machine = self.world.machine("p")
         self.handlers = Handlers()
         self.replicator = ImmediateReplicator()
-        self.sent_orders: list[AgentOrders] = []  # pushed, or as answers
+        self.sent_orders: list[AgentOrders] = []  # pushed orders, and answers to reports
         machine.start(lambda process: None)
         assert machine.process is not None
         agent = self.world.machine("w")
@@ -100,7 +100,7 @@
         self.lead({})
 
     def lead(self, state: dict[str, bytes]) -> None:
-        """A scheduler that knows nothing but replicated state takes over."""
+        """Activate a new scheduler on replicated state."""
         self.scheduler = Scheduler(self.ports, SchedulerTimings(BOUNDS, HEARTBEAT_S), NodeIdentity("p", "p"))
         self.scheduler.register(self.handlers)
         self.scheduler.activated(self.replicator.term, state)
@@ -128,7 +128,7 @@
         term: int = 0,
         lapsed_instance: str = "",
     ) -> None:
-        """One report of an agent; `term`: the one that it obeyed, this primary's if 0."""
+        """Send one agent report; `term` is the term that the agent follows, that of this primary if 0."""
         self.numbers[incarnation] = self.numbers.get(incarnation, 0) + 1
         info = WorkerInfo(
             instance=instance, service=SERVICE, slots=4, state="ready", cpu=CPU, memory_mb=1_000, labels=["a", "r1-0"]
@@ -165,17 +165,17 @@
         self.world.run_for(0.05)
 
     def started(self) -> list[tuple[str, int]]:
-        """Starts that were ordered, each once."""
+        """Return the runs with a start order, each once."""
         orders = [(start.task, start.run) for orders in self.sent_orders for start in orders.starts]
         return list(dict.fromkeys(orders))
 
     def stopped(self) -> list[tuple[str, int]]:
-        """Stops that were ordered, each once."""
+        """Return the runs with a stop order, each once."""
         orders = [(stop.task, stop.run) for orders in self.sent_orders for stop in orders.stops]
         return list(dict.fromkeys(orders))
 
     def phase(self) -> TaskPhase:
-        """Where the task stands in replicated state."""
+        """Return the phase of the task in replicated state."""
         return TaskPhase(decode_record(self.replicator.state[f"task/{TASK}"], TaskRecord).phase)
 
     def wait(self, seconds: float = 0.4) -> None:
@@ -183,9 +183,9 @@
 
 
 class FailOver(ScriptedAgents):
-    """What a new primary makes of what it hears, and of what it does not."""
+    """Reports to a new primary that refer to an earlier one."""
 
-    def test_a_lapse_told_to_an_earlier_primary_ends_nothing(self) -> None:
+    def test_lease_expiry_reported_under_an_earlier_term_ends_no_run(self) -> None:
         self.report()
         self.submit()
         self.fail_over()
@@ -194,7 +194,7 @@
         self.report(hold=2, fence=TERM + 1, lapsed_instance="i-1")
         self.assertEqual(TaskPhase.WAITING, self.phase())
 
-    def test_results_of_an_earlier_primarys_orders_end_nothing(self) -> None:
+    def test_order_results_of_an_earlier_primary_end_no_run(self) -> None:
         self.report()
         self.submit()
         self.fail_over()
@@ -202,7 +202,7 @@
         self.report(term=TERM, fence=TERM, results=(refused,))
         self.assertEqual(TaskPhase.ASSIGNED, self.phase())
 
-    def test_a_removed_route_keeps_its_jobs_attempts(self) -> None:
+    def test_job_of_a_removed_route_keeps_its_max_attempts(self) -> None:
         self.report()
         self.submit()
         self.configuration = Configuration(2, (), (Service(SERVICE),))
@@ -214,10 +214,10 @@
 
 
 class StepDown(ScriptedAgents):
-    """Answers whose commit comes as the node is giving the role up."""
+    """Answers to calls that are committed after the node has stopped acting as primary."""
 
     def answer_to(self, kind: CallKind, job: str) -> Struct:
-        """What a call is told that is committed once the node does not act as primary any more."""
+        """Make a call, commit it only after the node has stepped down, and return the answer."""
         waiting: list[Callable[[], None]] = []
         answers: list[Struct] = []
         self.replicator.after_commit = waiting.append  # type: ignore[method-assign]
@@ -239,22 +239,22 @@
         (answer,) = answers
         return answer
 
-    def test_a_job_that_was_taken_is_acknowledged(self) -> None:
+    def test_committed_submission_is_acknowledged(self) -> None:
         self.report()
         self.assertEqual(ClientReply(status=200), self.answer_to(CallKind.SUBMIT, JOB))
 
-    def test_a_cancelling_that_was_taken_is_acknowledged(self) -> None:
+    def test_committed_cancellation_is_acknowledged(self) -> None:
         self.report()
         self.submit()
         self.assertEqual(ClientReply(status=200), self.answer_to(CallKind.CANCEL, JOB))
 
-    def test_that_a_job_is_unknown_is_left_to_the_next_primary(self) -> None:
+    def test_query_of_an_unknown_job_is_referred_to_the_next_primary(self) -> None:
         self.report()
         self.assertIsInstance(self.answer_to(CallKind.STATE, JOB), NotPrimary)
 
 
-class Processes(ScriptedAgents):
-    def test_a_late_report_of_a_process_that_is_gone_does_not_silence_the_present_one(self) -> None:
+class Restarts(ScriptedAgents):
+    def test_late_report_of_a_replaced_agent_does_not_block_the_current_one(self) -> None:
         self.report(incarnation=2)
         self.report(incarnation=1)
         self.report(incarnation=2)
@@ -263,14 +263,14 @@
         self.report(incarnation=2, hold=2, finished=(FinishedTask(1, TASK, 1, "done", ""),))
         self.assertNotIn(f"task/{TASK}", self.replicator.state)
 
-    def test_a_late_report_ends_nothing_that_began_after_it(self) -> None:
+    def test_late_report_of_an_earlier_worker_instance_ends_no_newer_run(self) -> None:
         self.report(incarnation=2, instance="i-2")
         self.submit()
         self.report(incarnation=1, instance="i-1")
         self.wait()
         self.assertEqual([(TASK, 1)], self.started())
 
-    def test_a_new_process_is_believed_at_its_second_report(self) -> None:
+    def test_new_agent_process_is_accepted_at_its_second_report(self) -> None:
         self.report(incarnation=1)
         self.submit()
         end = FinishedTask(1, TASK, 1, "stopped", "")
@@ -280,7 +280,7 @@
         self.wait()
         self.assertEqual([(TASK, 1), (TASK, 2)], self.started())
 
-    def test_a_life_that_is_over_is_believed_at_once(self) -> None:
+    def test_terminated_worker_instance_is_accepted_at_once(self) -> None:
         self.report(incarnation=1)
         self.submit()
         self.report(incarnation=2, instance="i-2", hold=0, ended_instances=("i-1",))
@@ -288,7 +288,7 @@
         self.wait()
         self.assertEqual([(TASK, 1), (TASK, 2)], self.started())
 
-    def test_a_new_life_counts_once_it_has_answered(self) -> None:
+    def test_new_worker_instance_is_accepted_once_it_has_answered(self) -> None:
         self.report()
         self.submit()
         self.report(instance="i-2", hold=0)
@@ -299,7 +299,7 @@
         self.wait()
         self.assertEqual([(TASK, 1), (TASK, 2)], self.started())
 
-    def test_nothing_starts_where_the_lists_were_told_under_an_older_term(self) -> None:
+    def test_no_task_is_placed_while_the_lists_are_of_an_older_term(self) -> None:
         self.report(fence=TERM - 1)
         self.submit()
         self.wait()
@@ -308,7 +308,7 @@
         self.wait()
         self.assertEqual([(TASK, 1)], self.started())
 
-    def test_an_agent_is_granted_nothing_without_the_lease(self) -> None:
+    def test_agent_gets_no_grant_from_a_node_that_is_not_primary(self) -> None:
         self.report()
         self.assertIsInstance(self.answer, AgentOrders)
         self.replicator.leads = False
@@ -316,21 +316,21 @@
         self.assertIsInstance(self.answer, NotPrimary)
 
 
-class Ends(ScriptedAgents):
+class RunEnds(ScriptedAgents):
     def setUp(self) -> None:
         super().setUp()
         self.report()
         self.submit()
         self.assertEqual([(TASK, 1)], self.started())
 
-    def test_an_end_of_an_earlier_run_does_not_end_the_present_one(self) -> None:
+    def test_end_of_an_earlier_run_does_not_end_the_current_one(self) -> None:
         stopped = FinishedTask(1, TASK, 1, "stopped", "")
         self.report(hold=2, finished=(stopped,))
         self.assertEqual([(TASK, 1), (TASK, 2)], self.started())
         self.report(hold=3, finished=(stopped, FinishedTask(2, TASK, 1, "done", "")))
         self.assertEqual(TaskPhase.ASSIGNED, self.phase())
 
-    def test_a_stop_that_was_answered_frees_room_once_later_lists_show_no_run(self) -> None:
+    def test_answered_stop_frees_resources_once_later_lists_do_not_show_the_run(self) -> None:
         self.report(hold=2, running=(RunningTask(TASK, 1),))
         call = ClientCall(kind=int(CallKind.CANCEL), host=HOST, path=PLAIN.path_prefix + JOB)
         self.handlers.call(call, lambda reply: None)
@@ -344,7 +344,7 @@
 
 
 class Takeover(ScriptedAgents):
-    def test_the_rest_of_a_gang_that_one_member_has_left_is_stopped(self) -> None:
+    def test_remaining_runs_of_an_incomplete_gang_are_stopped(self) -> None:
         body = json.dumps({"spec": "s", "stages": [{"count": 2, "cpu": 500, "gang": True}]}).encode()
         job = JobRecord(id=JOB, route=PLAIN.name, service=SERVICE, body=body, order=1)
         left = TaskRecord(phase=int(TaskPhase.WAITING), run=1)
@@ -367,42 +367,42 @@
         self.submit()
         self.assertEqual([(TASK, 1)], self.started())
 
-    def test_a_plain_refusal_frees_the_task_at_once(self) -> None:
+    def test_certain_refusal_frees_the_task_at_once(self) -> None:
         self.report(results=(OrderResult(TASK, 1, "start", "room"),))
         self.wait(1.5)
         self.report(hold=2)
         self.wait()
         self.assertIn((TASK, 2), self.started())
 
-    def test_a_refusal_that_took_a_stop_waits_for_lists_made_after_it(self) -> None:
+    def test_refusal_after_a_stop_waits_for_lists_made_after_it(self) -> None:
         refusal = OrderResult(TASK, 1, "start", "draining", at_hold=2)
         self.report(hold=1, results=(refusal,))
         self.wait(1.5)
-        self.assertEqual([(TASK, 1)], self.started(), "it may have been started late")
+        self.assertEqual([(TASK, 1)], self.started(), "the refused run may have started late")
         self.report(hold=2, running=(RunningTask(TASK, 1),), results=(refusal,))
         self.wait(1.5)
-        self.assertEqual([(TASK, 1)], self.started(), "it is being stopped")
+        self.assertEqual([(TASK, 1)], self.started(), "the refused run is being stopped")
         self.report(hold=3, finished=(FinishedTask(1, TASK, 1, "stopped", ""),))
         self.wait(1.5)
         self.report(hold=4)
         self.wait()
         self.assertIn((TASK, 2), self.started())
 
-    def test_a_refusal_that_no_lists_confirm_is_followed_by_a_stop(self) -> None:
+    def test_refusal_that_no_lists_confirm_is_followed_by_a_stop(self) -> None:
         refusal = OrderResult(TASK, 1, "start", "room", at_hold=2)
         self.report(hold=1, results=(refusal,))
         self.wait(0.6)
         self.report(hold=1, results=(refusal,))
         self.assertEqual([(TASK, 1)], self.stopped())
 
-    def test_a_start_that_succeeded_is_no_refusal(self) -> None:
+    def test_successful_start_is_not_treated_as_a_refusal(self) -> None:
         started = OrderResult(TASK, 1, "start", "started", at_hold=2)
         self.report(hold=1, results=(started,))
         self.wait(0.6)
         self.report(hold=1, results=(started,))
         self.assertEqual([], self.stopped())
 
-    def test_a_run_that_ended_before_its_start_was_told_is_taken_from_later_lists_only(self) -> None:
+    def test_run_reported_as_old_ends_only_by_lists_made_after_the_answer(self) -> None:
         old = OrderResult(TASK, 1, "start", "old", at_hold=2)
         self.report(hold=1, results=(old,))
         self.wait(1.5)
@@ -412,8 +412,8 @@
         self.assertIn((TASK, 2), self.started())
 
 
-class Room(ScriptedAgents):
-    def test_runs_that_a_worker_shows_and_nobody_wants_take_room_and_are_stopped(self) -> None:
+class FreeResources(ScriptedAgents):
+    def test_unexpected_runs_on_a_worker_occupy_resources_and_are_stopped(self) -> None:
         self.report(running=(RunningTask(f"{job_id(99)}.0.0.0", 1),))
         self.submit(cpu=CPU)
         self.assertEqual([], self.started())
@@ -424,7 +424,7 @@
         self.wait()
         self.assertEqual([(TASK, 1)], self.started())
 
-    def test_a_ranking_knows_of_room_that_others_took_since(self) -> None:
+    def test_ranking_sees_resources_that_were_taken_after_it_was_built(self) -> None:
         submission = {"spec": "s", "stages": [{"count": 2, "cpu": 3_000}]}
         step = _step(json.dumps(submission).encode())
         worker = Worker("w", capacity=ResourceRequest(CPU, 1_000, 0))
@@ -438,7 +438,7 @@
 
 
 def _nothing() -> None:
-    """Nobody waits for this commit."""
+    """Ignore a commit without a callback."""
 
 
 def _step(body: bytes) -> TaskGroup:
