--- a/pipitledge/scheduling/tasks.py
+++ b/pipitledge/scheduling/tasks.py
@@ -92,7 +92,7 @@
     node: str
     instance: str
     placed_at: float
-    committed: bool = False  # the task record that assigns it is committed
+    committed: bool = False  # whether the task record that assigns it is committed
     start_sent: bool = False  # a start order may have been sent
     start_sent_at: float = -math.inf
     listed: bool = False  # in the worker's latest list of running tasks
@@ -146,9 +146,7 @@
     failures: int = 0
     checkpoint: str = ""
     run: Run | None = None
-    previous_runs: list[Run] = field(
-        default_factory=list
-    )  # replaced by a speculative copy; they still occupy resources
+    previous_runs: list[Run] = field(default_factory=list)  # still occupy resources beside a speculative copy
     has_record: bool = False  # whether replicated state has a record of it
     not_before: float = 0.0  # not placed before this time: backoff after a failure or refusal
     avoided_nodes: set[str] = field(default_factory=set)  # nodes where it failed
@@ -177,7 +175,7 @@
     runs_per_node: dict[str, int] = field(default_factory=dict)  # runs that occupy resources, by node
     unfinished_tasks: int = 0  # tasks that are not done
     unmet_dependencies: int = 0  # stages it depends on that are not done
-    ready: bool = False  # all dependencies are met; its tasks may be queued
+    ready: bool = False  # whether all dependencies are met, so that its tasks may be queued
     queued_at: float = 0.0  # since when at least one of its tasks has been waiting
     blocked_since: float = -1.0  # since when no worker has had enough free resources; -1: not blocked
     requested_at: float = 0.0  # when the occurrence came due, or the job was accepted
@@ -230,7 +228,7 @@
     next_occurrence: int = 0  # the first occurrence that has not come due
     completed_occurrences: int = 0
     unfinished_task_groups: dict[int, int] = field(default_factory=dict)  # count by occurrence
-    started: bool = False  # a task has been assigned to a worker
+    started: bool = False  # whether any of its tasks has been assigned to a worker
     weight: float = 0.0  # slots that it counts for in admission; 0: not known yet
     failed_nodes: set[str] = field(default_factory=set)  # nodes on which tasks of it failed
 
--- a/tests/system/scheduling_case.py
+++ b/tests/system/scheduling_case.py
@@ -89,8 +89,8 @@
         self, job: str, content: dict[str, Any], work_s: float = 1.0, route: Any = PLAIN, **behaviour: Any
     ) -> None:
         """Submit a job, which must be accepted; its estimates are exact unless given."""
-        for step in content["stages"]:
-            step.setdefault("estimatedMs", int(work_s * 1_000.0))
+        for submitted_stage in content["stages"]:
+            submitted_stage.setdefault("estimatedMs", int(work_s * 1_000.0))
         replies = self.cluster.submit(job, content, route, Behaviour(work_s, **behaviour))
         self.cluster.run(0.05)
         self.assertEqual(200, status_of(replies))
--- a/tests/system/scheduling_cluster.py
+++ b/tests/system/scheduling_cluster.py
@@ -73,9 +73,9 @@
         ports = Ports(
             process.clock, process.network, self.replicator, lambda: cluster.configuration, cluster.wall_ms, cluster.log
         )
-        me = NodeIdentity(self.machine.name, self.machine.address)
+        identity = NodeIdentity(self.machine.name, self.machine.address)
         addresses = [worker.node for worker in cluster.workers]
-        self.scheduler = Scheduler(ports, SchedulerTimings(cluster.bounds, HEARTBEAT_S), me, lambda: addresses)
+        self.scheduler = Scheduler(ports, SchedulerTimings(cluster.bounds, HEARTBEAT_S), identity, lambda: addresses)
         self.scheduler.register(process.handlers)
 
 
@@ -168,8 +168,8 @@
 
     def reachable(self, node: str) -> bool:
         """Return whether the link of an agent has been up for at least the contact time."""
-        mended = self.disconnected_until.get(node)
-        return mended is None or self.world.time > mended + self.bounds.contact_ms / 1_000.0
+        reconnected_at = self.disconnected_until.get(node)
+        return reconnected_at is None or self.world.time > reconnected_at + self.bounds.contact_ms / 1_000.0
 
     def live_workers(self) -> list[ModelWorker]:
         return [worker for worker in self.workers if worker.up]
@@ -272,8 +272,8 @@
 
     def stage(self, task: str) -> dict[str, Any]:
         """Return the submitted stage of a task, with defaults for the fields that are left out."""
-        job, _, step, _ = task.split(".")
-        submitted = self.bodies[job]["stages"][int(step)]
+        job, _, stage, _ = task.split(".")
+        submitted = self.bodies[job]["stages"][int(stage)]
         defaults = {"cpu": 0, "memoryLimitMb": 0, "gpu": 0, "antiAffinity": 0, "nodeSelector": "", "affinity": ""}
         flags = {"gang": False, "checkpoints": False, "longRunning": False, "speculative": False}
         return {**defaults, **flags, **submitted}
--- a/tests/system/test_scheduling.py
+++ b/tests/system/test_scheduling.py
@@ -439,13 +439,13 @@
         node = next(node for node, live in runs if live.task != FIRST_TASK)
         cluster.run(0.4)
         cluster.disconnect_agent(node, 4.0)
-        mended = cluster.disconnected_until[node]
+        reconnected_at = cluster.disconnected_until[node]
         self.assert_completes(JOB)
         again = [start for start in self.starts_of(JOB) if start[2] == 2]
         self.assertEqual(3, len(again))
         self.assertEqual(6, len(self.starts_of(JOB)))
-        self.assertLess(self.ends_of(JOB, "failed")[0][0], mended - 2.0)
-        self.assertGreater(min(start[0] for start in again), mended)
+        self.assertLess(self.ends_of(JOB, "failed")[0][0], reconnected_at - 2.0)
+        self.assertGreater(min(start[0] for start in again), reconnected_at)
 
     def test_failures_of_members_in_one_run_count_as_one_attempt(self) -> None:
         cluster = self.make()
--- a/tests/system/test_scheduling_reports.py
+++ b/tests/system/test_scheduling_reports.py
@@ -426,14 +426,14 @@
 
     def test_ranking_sees_resources_that_were_taken_after_it_was_built(self) -> None:
         submission = {"spec": "s", "stages": [{"count": 2, "cpu": 3_000}]}
-        step = _step(json.dumps(submission).encode())
+        task_group = _task_group(json.dumps(submission).encode())
         worker = Worker("w", capacity=ResourceRequest(CPU, 1_000, 0))
         worker.instance = "i-1"
         worker.recount()
-        ranking = Ranking(Seeker(step, (0, 0, 0.0, 0, 0, 0), 0.0), [worker])
+        ranking = Ranking(Seeker(task_group, (0, 0, 0.0, 0, 0, 0), 0.0), [worker])
         self.assertIs(worker, ranking.best())
-        run = Run(step.tasks[0], 1, "w", "i-1", 0.0)
-        worker.add(run, step.resource_request)
+        run = Run(task_group.tasks[0], 1, "w", "i-1", 0.0)
+        worker.add(run, task_group.resource_request)
         self.assertIsNone(ranking.best())
 
 
@@ -441,7 +441,7 @@
     """Ignore a commit without a callback."""
 
 
-def _step(body: bytes) -> TaskGroup:
+def _task_group(body: bytes) -> TaskGroup:
     submission = parse_submission(body)
     assert isinstance(submission, Submission)
     job = Job(JOB, "plain", SERVICE, submission, body, 0, 1, 0.0, PLAIN)
