--- a/pipitledge/scheduling/admission.py
+++ b/pipitledge/scheduling/admission.py
@@ -37,7 +37,7 @@
 
         While the workers are not known yet, every job is admitted.
         """
-        capacity = self._context.room(route.service)
+        capacity = self._context.service_capacity(route.service)
         self._assign_missing_weights()
         if self._workers_unknown(capacity):
             return AdmissionDecision(True, self.weigh(route.service, submission))
@@ -45,14 +45,14 @@
 
     def weigh(self, service: str, submission: Submission) -> float:
         """Return the weight of a job in slots; 0 while no worker of the service is known."""
-        return job_weight(submission, self._pool(service, self._context.room(service)))
+        return job_weight(submission, self._pool(service, self._context.service_capacity(service)))
 
     def usage(self) -> QueueUsageReport:
         """Return the usage and the limits of all queues, without services whose workers are not known yet."""
         self._assign_missing_weights()
         pools = dict[str, PoolFigures]()
         for service in self._queues().by_service:
-            capacity = self._context.room(service)
+            capacity = self._context.service_capacity(service)
             if not self._workers_unknown(capacity):
                 pools[service] = self._pool(service, capacity)
         return QueueUsageReport(pools, self._context.next_order)
@@ -74,7 +74,7 @@
         """Whether this primary has been active too briefly to know the workers of the service."""
         context = self._context
         active_s = context.clock.now() - context.activated_at
-        return active_s < WORKER_DISCOVERY_S or (not capacity.slots and active_s < context.figures.lapse_s)
+        return active_s < WORKER_DISCOVERY_S or (not capacity.slots and active_s < context.timings.lease_expiry_s)
 
     def _queues(self) -> ServiceQueues:
         """Return the queues by service; recomputed only when the configuration changes."""
--- a/pipitledge/scheduling/admission_rule.py
+++ b/pipitledge/scheduling/admission_rule.py
@@ -15,7 +15,7 @@
 from pipitledge.configuration.datasets import PoolFigures, QueueFigures
 from pipitledge.configuration.model import Route
 from pipitledge.decision.admission import admit
-from pipitledge.scheduling.job import Stage, Submission, estimated_lengths_s, remaining_chains_s, waves_of
+from pipitledge.scheduling.job import Stage, Submission, critical_paths_s, estimated_durations_s, wave_count
 
 MIN_QUEUE_DEPTH = 4.0  # a service admits at least this many times its slots
 MIN_RETRY_AFTER_MS = 200
@@ -48,8 +48,8 @@
     own = pool.busy.get(route.name)
     if own is None or own.inflight <= 0.0:
         return AdmissionDecision(True, weight)  # the first job of an idle queue is admitted regardless of its size
-    lengths = estimated_lengths_s(submission.stages, _waves(submission, pool))
-    chain_s = max(remaining_chains_s(submission.stages, lengths))
+    lengths = estimated_durations_s(submission.stages, _waves(submission, pool))
+    chain_s = max(critical_paths_s(submission.stages, lengths))
     depth = queue_depth(route, chain_s, pool.late_factor)
     capacity = pool.capacity * depth
     usages = pool.usages(max(route.priority, own.priority), depth)
@@ -87,4 +87,4 @@
 
 def _waves(submission: Submission, pool: PoolFigures) -> tuple[float, ...]:
     """Return the number of waves in which each stage runs on the pool's workers."""
-    return tuple(waves_of(stage, share_of(stage, pool), pool.workers) for stage in submission.stages)
+    return tuple(wave_count(stage, share_of(stage, pool), pool.workers) for stage in submission.stages)
--- a/pipitledge/scheduling/dispatcher.py
+++ b/pipitledge/scheduling/dispatcher.py
@@ -11,11 +11,11 @@
 from pipitledge.scheduling import gangs
 from pipitledge.scheduling.context import Context
 from pipitledge.scheduling.lifecycle import Lifecycle
-from pipitledge.scheduling.orders import Orders
+from pipitledge.scheduling.orders import OrderSender
 from pipitledge.scheduling.placement import PlacementRequest, TaskPlacer, WorkerGroup, choose_gang_workers
 from pipitledge.scheduling.preemption import Preemption
 from pipitledge.scheduling.queue_order import WorkQueue
-from pipitledge.scheduling.tasks import Demand, Run, Step, Task
+from pipitledge.scheduling.tasks import ResourceRequest, Run, Task, TaskGroup
 from pipitledge.scheduling.workers import Worker
 
 MAX_GANGS_PER_PARTIAL_PASS = 3  # older gangs that a partial pass tries to place
@@ -29,25 +29,25 @@
     """Resource requests that a pass could not place, by node selector."""
 
     def __init__(self) -> None:
-        self._demands: dict[str, list[Demand]] = {}
+        self._demands: dict[str, list[ResourceRequest]] = {}
 
-    def add(self, step: Step) -> None:
+    def add(self, task_group: TaskGroup) -> None:
         """Record that no worker can take a task of the stage."""
-        self._demands.setdefault(step.stage.node_selector, []).append(step.demand)
+        self._demands.setdefault(task_group.stage.node_selector, []).append(task_group.resource_request)
 
-    def rules_out(self, step: Step) -> bool:
+    def rules_out(self, task_group: TaskGroup) -> bool:
         """Whether the stage cannot be placed, because one that requested no more could not be placed either."""
-        demand = step.demand
-        selector = step.stage.node_selector
-        if any(demand.covers(failed) for failed in self._demands.get("", ())):
+        resource_request = task_group.resource_request
+        selector = task_group.stage.node_selector
+        if any(resource_request.covers(failed) for failed in self._demands.get("", ())):
             return True
-        return bool(selector) and any(demand.covers(failed) for failed in self._demands.get(selector, ()))
+        return bool(selector) and any(resource_request.covers(failed) for failed in self._demands.get(selector, ()))
 
 
 class Dispatcher:
     """Assigns waiting tasks to workers and sends the start orders."""
 
-    def __init__(self, context: Context, lifecycle: Lifecycle, orders: Orders, preemption: Preemption) -> None:
+    def __init__(self, context: Context, lifecycle: Lifecycle, orders: OrderSender, preemption: Preemption) -> None:
         """Work on the scheduler's shared state."""
         self._context = context
         self._lifecycle = lifecycle
@@ -69,11 +69,11 @@
         full = now >= self._next_full_pass
         if full:
             self._next_full_pass = now + FULL_PASS_INTERVAL_S
-        fresh, context.fresh = context.fresh, set()
-        dirty, context.dirty = context.dirty, set()
+        dirty_task_groups, context.dirty_task_groups = context.dirty_task_groups, set()
+        dirty_workers, context.dirty_workers = context.dirty_workers, set()
         for service, queue in context.queues.items():
             if len(queue):
-                self._schedule_service(service, queue, fresh, dirty, full, now)
+                self._schedule_service(service, queue, dirty_task_groups, dirty_workers, full, now)
         self._write()
 
     # ---- writing and sending orders
@@ -87,170 +87,178 @@
             context.placed = placed + context.placed
             context.retry_pass()
             return
-        for worker in _by_name(context.unsent):
+        for worker in _by_name(context.workers_to_push):
             self._orders.push(worker)
 
     def _send_orders(self, placed: list[Run]) -> None:
         """Send the orders of newly assigned runs after the commit of their records."""
         context = self._context
         workers = {context.workers[run.node] for run in placed if run.task.run is run}
-        for worker in _by_name(workers | context.unsent):
+        for worker in _by_name(workers | context.workers_to_push):
             self._orders.push(worker)
 
     # ---- placing
 
     def _schedule_service(
-        self, service: str, queue: WorkQueue, fresh: set[Step], dirty: set[Worker], full: bool, now: float
+        self,
+        service: str,
+        queue: WorkQueue,
+        dirty_task_groups: set[TaskGroup],
+        dirty_workers: set[Worker],
+        full: bool,
+        now: float,
     ) -> None:
         """Place the stages that wait for the workers of one service."""
         usable = self._context.usable_workers(service, now)
-        freed = WorkerGroup([worker for worker in usable.workers if worker in dirty])
+        freed = WorkerGroup([worker for worker in usable.workers if worker in dirty_workers])
         if full:
             queue.reorder(now)
-        steps = list(queue.in_order()) if full or freed else queue.sorted(fresh)
+        task_groups = list(queue.in_order()) if full or freed else queue.sorted(dirty_task_groups)
         # By whether all usable workers were tried (True) or only those that may have gained free resources (False).
         unplaceable = {True: _UnplaceableRequests(), False: _UnplaceableRequests()}
         gangs_tried = 0
         idle = full and usable.mostly_idle()
-        for step in steps:
-            on_all = full or step in fresh
-            if idle and _is_starving(step, now):
-                self._place_starving(step, queue, usable.with_fallback(), now)
+        for task_group in task_groups:
+            on_all = full or task_group in dirty_task_groups
+            if idle and _is_starving(task_group, now):
+                self._place_starving(task_group, queue, usable.with_fallback(), now)
                 continue
-            if step.gang and not on_all:
+            if task_group.gang and not on_all:
                 gangs_tried += 1
                 if gangs_tried > MAX_GANGS_PER_PARTIAL_PASS:
                     continue
-            if unplaceable[on_all].rules_out(step):
-                self._mark_blocked(step, now)
+            if unplaceable[on_all].rules_out(task_group):
+                self._mark_blocked(task_group, now)
                 continue
-            if self._place(step, queue, usable if on_all else freed, usable, now):
+            if self._place(task_group, queue, usable if on_all else freed, usable, now):
                 continue
-            self._mark_blocked(step, now)
-            if not _constrained(step):
-                unplaceable[on_all].add(step)
-        if full or self._urgent_blocked(queue, fresh):
+            self._mark_blocked(task_group, now)
+            if not _constrained(task_group):
+                unplaceable[on_all].add(task_group)
+        if full or self._urgent_blocked(queue, dirty_task_groups):
             self._preemption.handle_blocked_steps(queue, usable.workers, now)
 
-    def _urgent_blocked(self, queue: WorkQueue, fresh: set[Step]) -> bool:
+    def _urgent_blocked(self, queue: WorkQueue, dirty_task_groups: set[TaskGroup]) -> bool:
         """Whether one of the new stages is urgent and could not be placed."""
-        return any(queue.is_urgent(step) and step.blocked_since >= 0.0 for step in fresh)
+        return any(queue.is_urgent(task_group) and task_group.blocked_since >= 0.0 for task_group in dirty_task_groups)
 
-    def _place(self, step: Step, queue: WorkQueue, candidates: WorkerGroup, usable: WorkerGroup, now: float) -> bool:
+    def _place(
+        self, task_group: TaskGroup, queue: WorkQueue, candidates: WorkerGroup, usable: WorkerGroup, now: float
+    ) -> bool:
         """Place as many tasks of the stage as possible; returns False if a task could not be placed."""
-        if step.gang:
-            placed = self._place_gang(step, queue, candidates, usable, now)
+        if task_group.gang:
+            placed = self._place_gang(task_group, queue, candidates, usable, now)
         else:
-            placed = self._place_tasks(step, queue, candidates, usable, now)
-        self._dequeue_if_placed(step, queue)
+            placed = self._place_tasks(task_group, queue, candidates, usable, now)
+        self._dequeue_if_placed(task_group, queue)
         return placed
 
-    def _place_starving(self, step: Step, queue: WorkQueue, usable: WorkerGroup, now: float) -> None:
+    def _place_starving(self, task_group: TaskGroup, queue: WorkQueue, usable: WorkerGroup, now: float) -> None:
         """Place tasks of a starving stage on any worker with enough free resources, even an avoided or reserved one."""
-        rank = queue.rank(step)
+        rank = queue.rank(task_group)
         assert rank is not None, "only a waiting stage is placed"
-        request = PlacementRequest(step, rank, now, starving=True)
-        far_x = self._context.figures.bounds.far_x
-        if step.gang:
-            self._assign_gang(step, request, usable)
+        request = PlacementRequest(task_group, rank, now, starving=True)
+        far_x = self._context.timings.bounds.far_x
+        if task_group.gang:
+            self._assign_gang(task_group, request, usable)
         else:
             unrestricted = TaskPlacer(request, usable, usable, far_x)
-            for task in _retries_first(step):
+            for task in _retries_first(task_group):
                 excluded_nodes = _nodes_with_superseded_runs(task)
-                restricted = PlacementRequest(step, rank, now, excluded_nodes=excluded_nodes, starving=True)
+                restricted = PlacementRequest(task_group, rank, now, excluded_nodes=excluded_nodes, starving=True)
                 placer = TaskPlacer(restricted, usable, usable, far_x) if excluded_nodes else unrestricted
                 worker = placer.best() if task.not_before <= now else None
                 if worker is not None:
                     self._lifecycle.assign(task, worker, task.last_run + 1)
-        self._dequeue_if_placed(step, queue)
-        if step.waiting:
-            self._mark_blocked(step, now)
+        self._dequeue_if_placed(task_group, queue)
+        if task_group.waiting:
+            self._mark_blocked(task_group, now)
 
-    def _dequeue_if_placed(self, step: Step, queue: WorkQueue) -> None:
+    def _dequeue_if_placed(self, task_group: TaskGroup, queue: WorkQueue) -> None:
         """Remove the stage from the queue, and release its reservations, if none of its tasks is waiting."""
-        if not step.waiting:
-            queue.remove(step)
-            self._preemption.release_reservations(step)
+        if not task_group.waiting:
+            queue.remove(task_group)
+            self._preemption.release_reservations(task_group)
 
     def _place_tasks(
-        self, step: Step, queue: WorkQueue, candidates: WorkerGroup, usable: WorkerGroup, now: float
+        self, task_group: TaskGroup, queue: WorkQueue, candidates: WorkerGroup, usable: WorkerGroup, now: float
     ) -> bool:
         """Place the tasks of the stage one by one; returns False if a task could not be placed."""
-        rank = queue.rank(step)
+        rank = queue.rank(task_group)
         assert rank is not None, "only a waiting stage is placed"
-        far_x = self._context.figures.bounds.far_x
-        unrestricted = TaskPlacer(PlacementRequest(step, rank, now), candidates, usable, far_x)
-        for task in _retries_first(step):
+        far_x = self._context.timings.bounds.far_x
+        unrestricted = TaskPlacer(PlacementRequest(task_group, rank, now), candidates, usable, far_x)
+        for task in _retries_first(task_group):
             if task.not_before > now:
                 continue
             avoided_nodes, avoid_suspects = self._nodes_to_avoid([task], now)
             excluded_nodes = _nodes_with_superseded_runs(task)
             restricted = bool(avoided_nodes or excluded_nodes) or avoid_suspects
-            request = PlacementRequest(step, rank, now, avoided_nodes, excluded_nodes, avoid_suspects)
+            request = PlacementRequest(task_group, rank, now, avoided_nodes, excluded_nodes, avoid_suspects)
             placer = TaskPlacer(request, candidates, usable, far_x) if restricted else unrestricted
             worker = placer.best()
             if worker is not None:
                 self._lifecycle.assign(task, worker, task.last_run + 1)
             elif not restricted:
                 return False  # the remaining tasks request the same resources
-        return not step.waiting
+        return not task_group.waiting
 
     def _place_gang(
-        self, step: Step, queue: WorkQueue, candidates: WorkerGroup, usable: WorkerGroup, now: float
+        self, task_group: TaskGroup, queue: WorkQueue, candidates: WorkerGroup, usable: WorkerGroup, now: float
     ) -> bool:
         """Place all members of a gang or none; returns whether they were placed."""
-        rank = queue.rank(step)
+        rank = queue.rank(task_group)
         assert rank is not None, "only a waiting stage is placed"
         if not candidates:
             return False
-        avoided_nodes, avoid_suspects = self._nodes_to_avoid(step.tasks, now)
+        avoided_nodes, avoid_suspects = self._nodes_to_avoid(task_group.tasks, now)
         return self._assign_gang(
-            step, PlacementRequest(step, rank, now, avoided_nodes, avoid_suspects=avoid_suspects), usable
+            task_group, PlacementRequest(task_group, rank, now, avoided_nodes, avoid_suspects=avoid_suspects), usable
         )
 
-    def _assign_gang(self, step: Step, request: PlacementRequest, usable: WorkerGroup) -> bool:
+    def _assign_gang(self, task_group: TaskGroup, request: PlacementRequest, usable: WorkerGroup) -> bool:
         """Assign each member of a gang to a worker, if there are enough resources for all of them."""
-        if any(task.not_before > request.now for task in step.tasks):
+        if any(task.not_before > request.now for task in task_group.tasks):
             return False
-        workers = choose_gang_workers(request, usable, self._context.figures.bounds.far_x)
+        workers = choose_gang_workers(request, usable, self._context.timings.bounds.far_x)
         if workers is None:
             return False
-        number = gangs.next_run_number(step)
-        for task, worker in zip(step.tasks, workers, strict=True):
+        number = gangs.next_run_number(task_group)
+        for task, worker in zip(task_group.tasks, workers, strict=True):
             self._lifecycle.assign(task, worker, number)
         return True
 
     def _nodes_to_avoid(self, tasks: Sequence[Task], now: float) -> tuple[set[str], bool]:
         """Return the nodes that the tasks should avoid, and whether to avoid all suspect workers; both expire."""
         first = tasks[0]
-        waited = now - max(first.not_before, first.step.queued_at)
+        waited = now - max(first.not_before, first.task_group.queued_at)
         if waited > NODE_AVOIDANCE_S:
             return set(), False
         avoided_nodes: set[str] = set()
         for task in tasks:
-            avoided_nodes |= task.avoided
+            avoided_nodes |= task.avoided_nodes
             if task.refused_by:
                 avoided_nodes.add(task.refused_by)
         return avoided_nodes, waited <= SUSPECT_AVOIDANCE_S and any(task.failures > 0 for task in tasks)
 
-    def _mark_blocked(self, step: Step, now: float) -> None:
-        if step.blocked_since < 0.0:
-            step.blocked_since = now
+    def _mark_blocked(self, task_group: TaskGroup, now: float) -> None:
+        if task_group.blocked_since < 0.0:
+            task_group.blocked_since = now
 
 
-def _is_starving(step: Step, now: float) -> bool:
+def _is_starving(task_group: TaskGroup, now: float) -> bool:
     """Whether a stage has been blocked for so long that it may use any worker."""
-    return step.blocked_since >= 0.0 and now - step.blocked_since >= STARVING_AFTER_S
+    return task_group.blocked_since >= 0.0 and now - task_group.blocked_since >= STARVING_AFTER_S
 
 
-def _retries_first(step: Step) -> list[Task]:
+def _retries_first(task_group: TaskGroup) -> list[Task]:
     """Return the waiting tasks of a stage, the most delayed first: those with the most failed or superseded runs."""
-    return sorted(step.waiting.values(), key=lambda task: -task.failures - len(task.former))
+    return sorted(task_group.waiting.values(), key=lambda task: -task.failures - len(task.previous_runs))
 
 
 def _nodes_with_superseded_runs(task: Task) -> frozenset[str]:
     """Return the nodes where an earlier run of the task still holds resources while a speculative copy is wanted."""
-    return frozenset(run.node for run in task.former)
+    return frozenset(run.node for run in task.previous_runs)
 
 
 def _by_name(workers: set[Worker]) -> list[Worker]:
@@ -262,10 +270,11 @@
         run.committed = True
 
 
-def _constrained(step: Step) -> bool:
+def _constrained(task_group: TaskGroup) -> bool:
     """Whether the stage may have been rejected by workers for another reason than a lack of free resources."""
-    stage = step.stage
+    stage = task_group.stage
     restricted = any(
-        task.avoided or task.refused_by or task.not_before or task.former for task in step.waiting.values()
+        task.avoided_nodes or task.refused_by or task.not_before or task.previous_runs
+        for task in task_group.waiting.values()
     )
-    return bool(step.gang or stage.affinity or stage.anti_affinity or restricted)
+    return bool(task_group.gang or stage.affinity or stage.anti_affinity or restricted)
--- a/pipitledge/scheduling/placement.py
+++ b/pipitledge/scheduling/placement.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from pipitledge.scheduling.queue_order import Rank
-from pipitledge.scheduling.tasks import Step
+from pipitledge.scheduling.tasks import TaskGroup
 from pipitledge.scheduling.workers import Worker
 
 LOCALITY_WAIT_FACTOR = 0.5  # a stage waits at most this fraction of the time that remote placement would cost it
@@ -27,7 +27,7 @@
 class PlacementRequest:
     """The stage to be placed, and the restrictions on the choice of its workers."""
 
-    step: Step
+    task_group: TaskGroup
     rank: Rank
     now: float
     avoided_nodes: Collection[str] = field(default_factory=frozenset)
@@ -113,14 +113,14 @@
         """Choose from `candidates`; `usable`, all usable workers, shows whether a worker near the data can exist."""
         self._request = request
         self._candidates = candidates
-        stage = request.step.stage
+        stage = request.task_group.stage
         self._local: WorkerRanking | None = None
         self._others: WorkerRanking | None = None
         self._waits_for_locality = False
         if stage.affinity:
             self._local = WorkerRanking(request, candidates.with_label(stage.affinity))
             self._waits_for_locality = not request.starving and should_wait_for_locality(
-                request.step, usable, request.now, far_x
+                request.task_group, usable, request.now, far_x
             )
 
     def best(self) -> Worker | None:
@@ -130,38 +130,40 @@
             return local
         if self._others is None:
             self._others = WorkerRanking(
-                self._request, self._candidates.matching_selector(self._request.step.stage.node_selector)
+                self._request, self._candidates.matching_selector(self._request.task_group.stage.node_selector)
             )
         return self._others.best()
 
 
-def should_wait_for_locality(step: Step, usable: WorkerGroup, now: float, far_x: float) -> bool:
+def should_wait_for_locality(task_group: TaskGroup, usable: WorkerGroup, now: float, far_x: float) -> bool:
     """Whether the stage should go on waiting for a worker on the rack that holds its data."""
-    if now >= step.queued_at + locality_wait_s(step, far_x):
+    if now >= task_group.queued_at + locality_wait_s(task_group, far_x):
         return False
-    return any(worker.fits_when_empty(step.demand) for worker in usable.with_label(step.stage.affinity))
+    return any(
+        worker.fits_when_empty(task_group.resource_request) for worker in usable.with_label(task_group.stage.affinity)
+    )
 
 
-def locality_wait_s(step: Step, far_x: float) -> float:
+def locality_wait_s(task_group: TaskGroup, far_x: float) -> float:
     """Return how long a stage waits for a worker near its data before it runs elsewhere."""
-    return min(MAX_LOCALITY_WAIT_S, LOCALITY_WAIT_FACTOR * max(0.0, far_x - 1.0) * step.stage.estimate_s)
+    return min(MAX_LOCALITY_WAIT_S, LOCALITY_WAIT_FACTOR * max(0.0, far_x - 1.0) * task_group.stage.estimate_s)
 
 
 def choose_gang_workers(request: PlacementRequest, usable: WorkerGroup, far_x: float) -> list[Worker] | None:
     """Return workers for all tasks of a gang, or None if they can't all be placed now."""
-    step = request.step
-    rack = step.stage.affinity
+    task_group = request.task_group
+    rack = task_group.stage.affinity
     if rack:
         local = _choose_all(request, usable.with_label(rack))
         if local is not None:
             return local
-    matching = usable.matching_selector(step.stage.node_selector)
-    if step.stage.same_rack:
+    matching = usable.matching_selector(task_group.stage.node_selector)
+    if task_group.stage.same_rack:
         on_one_rack = _choose_within_rack(request, matching)
         if on_one_rack is not None:
             return on_one_rack
-    may_wait = not request.starving and request.now < step.queued_at + locality_wait_s(step, far_x)
-    if may_wait and (rack or step.stage.same_rack):
+    may_wait = not request.starving and request.now < task_group.queued_at + locality_wait_s(task_group, far_x)
+    if may_wait and (rack or task_group.stage.same_rack):
         return None
     return _choose_all(request, matching)
 
@@ -185,36 +187,36 @@
 
 def _choose_all(request: PlacementRequest, workers: Sequence[Worker]) -> list[Worker] | None:
     """Return workers for all tasks of the stage, or None; resources allocated while trying are released again."""
-    step = request.step
+    task_group = request.task_group
     ranking = WorkerRanking(request, workers)
     chosen: list[Worker] = []
     try:
-        while len(chosen) < len(step.tasks):
+        while len(chosen) < len(task_group.tasks):
             worker = ranking.best()
             if worker is None:
                 return None
-            worker.allocate(step.demand)
-            step.on_node[worker.node] = step.on_node.get(worker.node, 0) + 1
+            worker.allocate(task_group.resource_request)
+            task_group.runs_per_node[worker.node] = task_group.runs_per_node.get(worker.node, 0) + 1
             chosen.append(worker)
         return list(chosen)
     finally:
         for worker in chosen:
-            worker.release(step.demand)
-            step.on_node[worker.node] -= 1
+            worker.release(task_group.resource_request)
+            task_group.runs_per_node[worker.node] -= 1
 
 
 def _can_place(request: PlacementRequest, worker: Worker) -> bool:
     """Whether a worker has enough free resources for a task of the stage and is eligible."""
-    return worker.fits(request.step.demand) and _is_eligible(request, worker)
+    return worker.fits(request.task_group.resource_request) and _is_eligible(request, worker)
 
 
 def _is_eligible(request: PlacementRequest, worker: Worker) -> bool:
     """Whether tasks of the stage may run on the worker, regardless of free resources."""
-    step = request.step
-    stage = step.stage
+    task_group = request.task_group
+    stage = task_group.stage
     if stage.node_selector and stage.node_selector not in worker.labels:
         return False
-    if stage.anti_affinity and step.on_node.get(worker.node, 0) >= stage.anti_affinity:
+    if stage.anti_affinity and task_group.runs_per_node.get(worker.node, 0) >= stage.anti_affinity:
         return False
     if worker.node in request.excluded_nodes:
         return False
@@ -230,7 +232,7 @@
 def _reserved_for_other(request: PlacementRequest, worker: Worker) -> bool:
     """Whether the worker is reserved for another stage that comes earlier in the queue."""
     reservation = worker.reservation
-    if reservation is None or reservation.step is request.step or request.now >= reservation.until:
+    if reservation is None or reservation.task_group is request.task_group or request.now >= reservation.until:
         return False
     return reservation.rank < request.rank
 
@@ -240,4 +242,4 @@
     speed = min(MAX_SPEED, max(MIN_SPEED, worker.health.speed))
     if request.now < worker.cold_until:
         speed *= COLD_WEIGHT
-    return (worker.free_share_after(request.step.demand) + FREE_SHARE_BIAS) * speed
+    return (worker.free_share_after(request.task_group.resource_request) + FREE_SHARE_BIAS) * speed
--- a/pipitledge/scheduling/preemption.py
+++ b/pipitledge/scheduling/preemption.py
@@ -14,7 +14,7 @@
 from pipitledge.scheduling.lifecycle import Lifecycle
 from pipitledge.scheduling.placement import racks_by_free_cpu
 from pipitledge.scheduling.queue_order import URGENT_PRIORITY, DeadlineClass, Rank, WorkQueue
-from pipitledge.scheduling.tasks import Run, Step, StopCause
+from pipitledge.scheduling.tasks import Run, StopCause, TaskGroup
 from pipitledge.scheduling.workers import Reservation, Worker
 
 MAX_URGENT_STEPS_PER_PASS = 4  # stages that may preempt in one pass
@@ -50,8 +50,8 @@
         self._lifecycle = lifecycle
         self._allowance = MIN_VICTIM_BURST  # runs that may be preempted now: a token bucket
         self._allowance_updated_at = 0.0
-        self._reservation_owners: dict[str, Step] = {}  # by service: the blocked stage that has reserved workers
-        self._steps_with_reservations: set[Step] = set()  # also urgent ones: they reserve what preempted runs free
+        self._reservation_owners: dict[str, TaskGroup] = {}  # by service: the blocked stage that has reserved workers
+        self._steps_with_reservations: set[TaskGroup] = set()  # also urgent ones: they reserve what preempted runs free
 
     def clear(self) -> None:
         """Reset to the initial state."""
@@ -65,29 +65,29 @@
         self._refill_allowance(now)
         urgent = 0
         may_reserve = True
-        for step in queue.in_order():
-            rank = queue.rank(step)
-            if rank is None or step.blocked_since < 0.0 or rank[1] == DeadlineClass.EXPIRED:
+        for task_group in queue.in_order():
+            rank = queue.rank(task_group)
+            if rank is None or task_group.blocked_since < 0.0 or rank[1] == DeadlineClass.EXPIRED:
                 continue
-            waited = now - step.blocked_since
-            if rank[0] == URGENT_PRIORITY and not step.gang and urgent < MAX_URGENT_STEPS_PER_PASS:
+            waited = now - task_group.blocked_since
+            if rank[0] == URGENT_PRIORITY and not task_group.gang and urgent < MAX_URGENT_STEPS_PER_PASS:
                 urgent += 1
-                self._preempt_for(step, rank, workers, now)
-            if may_reserve and waited >= (GANG_RESERVATION_DELAY_S if step.gang else TASK_RESERVATION_DELAY_S):
+                self._preempt_for(task_group, rank, workers, now)
+            if may_reserve and waited >= (GANG_RESERVATION_DELAY_S if task_group.gang else TASK_RESERVATION_DELAY_S):
                 may_reserve = False
-                self._reserve_for(step, rank, workers, now)
+                self._reserve_for(task_group, rank, workers, now)
 
-    def release_reservations(self, step: Step) -> None:
+    def release_reservations(self, task_group: TaskGroup) -> None:
         """Release the workers reserved for a stage that has no waiting tasks any more."""
-        if step not in self._steps_with_reservations:
+        if task_group not in self._steps_with_reservations:
             return
-        self._steps_with_reservations.discard(step)
-        if self._reservation_owners.get(step.job.service) is step:
-            del self._reservation_owners[step.job.service]
+        self._steps_with_reservations.discard(task_group)
+        if self._reservation_owners.get(task_group.job.service) is task_group:
+            del self._reservation_owners[task_group.job.service]
         for worker in self._context.workers.values():
-            if worker.reservation is not None and worker.reservation.step is step:
+            if worker.reservation is not None and worker.reservation.task_group is task_group:
                 worker.reservation = None
-                self._context.dirty.add(worker)
+                self._context.dirty_workers.add(worker)
 
     # ---- preemption
 
@@ -97,45 +97,47 @@
         rate = VICTIMS_PER_WORKER_PER_S * max(4, len(self._context.workers))
         self._allowance = min(max(MIN_VICTIM_BURST, rate), self._allowance + elapsed_s * rate)
 
-    def _preempt_for(self, step: Step, rank: Rank, workers: Sequence[Worker], now: float) -> None:
+    def _preempt_for(self, task_group: TaskGroup, rank: Rank, workers: Sequence[Worker], now: float) -> None:
         """Preempt runs of a lower priority for the tasks of an urgent stage."""
-        if now < step.next_preemption:
+        if now < task_group.next_preemption:
             return
-        until = now + self._context.figures.stop_s + STOP_SLACK_S
-        for _ in range(len(step.waiting)):
-            eviction = self._cheapest_eviction(step, workers, now)
+        until = now + self._context.timings.stop_s + STOP_SLACK_S
+        for _ in range(len(task_group.waiting)):
+            eviction = self._cheapest_eviction(task_group, workers, now)
             if eviction is None or len(eviction.victims) > self._allowance:
                 return
             self._allowance -= len(eviction.victims)
-            step.next_preemption = until
-            eviction.worker.reservation = Reservation(step, rank, until)
-            self._steps_with_reservations.add(step)
+            task_group.next_preemption = until
+            eviction.worker.reservation = Reservation(task_group, rank, until)
+            self._steps_with_reservations.add(task_group)
             for run in eviction.victims:
                 run.task.preempted_at = now
                 self._lifecycle.request_stop(run, StopCause.PREEMPTED)
-            self._context.log.info("preempted", peer=eviction.worker.node, runs=len(eviction.victims), job=step.job.id)
+            self._context.log.info(
+                "preempted", peer=eviction.worker.node, runs=len(eviction.victims), job=task_group.job.id
+            )
 
-    def _cheapest_eviction(self, step: Step, workers: Sequence[Worker], now: float) -> _Eviction | None:
+    def _cheapest_eviction(self, task_group: TaskGroup, workers: Sequence[Worker], now: float) -> _Eviction | None:
         """Return the eviction that makes one task fit at the least loss of work; None if none is acceptable."""
-        max_loss = MAX_LOSS_RATIO * core_seconds(step, step.stage.estimate_s)
+        max_loss = MAX_LOSS_RATIO * core_seconds(task_group, task_group.stage.estimate_s)
         best: _Eviction | None = None
         for worker in workers:
             if worker.reservation is not None and now < worker.reservation.until:
                 continue
             if (
-                worker.fits(step.demand)
-                or not _meets_constraints(step, worker)
-                or not worker.fits_when_empty(step.demand)
+                worker.fits(task_group.resource_request)
+                or not _meets_constraints(task_group, worker)
+                or not worker.fits_when_empty(task_group.resource_request)
             ):
                 continue
-            eviction = self._plan_eviction(step, worker, now)
+            eviction = self._plan_eviction(task_group, worker, now)
             if eviction is None or eviction.loss > max_loss:
                 continue
             if best is None or eviction.loss < best.loss:
                 best = eviction
         return best
 
-    def _plan_eviction(self, step: Step, worker: Worker, now: float) -> _Eviction | None:
+    def _plan_eviction(self, task_group: TaskGroup, worker: Worker, now: float) -> _Eviction | None:
         """Return the runs to stop on a worker, least loss first, until the task fits; None if it never does."""
         victims = [run for run in worker.runs.values() if self._is_preemptible(run, worker, now)]
         victims.sort(key=lambda run: unsaved_work(run, now))
@@ -143,105 +145,119 @@
         loss = 0.0
         cpu, memory_mb, gpu = worker.free_cpu, worker.free_memory_mb, worker.free_gpu
         for run in victims:
-            freed = run.task.step.demand
+            freed = run.task.task_group.resource_request
             chosen.append(run)
             loss += unsaved_work(run, now)
             cpu, memory_mb, gpu = cpu + freed.cpu, memory_mb + freed.memory_mb, gpu + freed.gpu
-            if cpu >= step.demand.cpu and memory_mb >= step.demand.memory_mb and gpu >= step.demand.gpu:
+            if (
+                cpu >= task_group.resource_request.cpu
+                and memory_mb >= task_group.resource_request.memory_mb
+                and gpu >= task_group.resource_request.gpu
+            ):
                 return _Eviction(worker, tuple(chosen), loss)
         return None
 
     def _is_preemptible(self, run: Run, worker: Worker, now: float) -> bool:
         """Whether a run may be preempted by an urgent task."""
-        step = run.task.step
+        task_group = run.task.task_group
         return (
             run.instance == worker.instance
-            and run.stop is None
+            and run.stop_cause is None
             and not run.settled
-            and self._context.priority_of(step) > URGENT_PRIORITY
+            and self._context.priority_of(task_group) > URGENT_PRIORITY
             and now - run.task.preempted_at >= PREEMPTION_COOLDOWN_S
             and run.percent < NEARLY_DONE_PERCENT
         )
 
     # ---- reservations
 
-    def _reserve_for(self, step: Step, rank: Rank, workers: Sequence[Worker], now: float) -> None:
+    def _reserve_for(self, task_group: TaskGroup, rank: Rank, workers: Sequence[Worker], now: float) -> None:
         """Reserve workers for a stage, unless another stage of its service holds a reservation."""
-        service = step.job.service
+        service = task_group.job.service
         owner = self._reservation_owners.get(service)
         if owner is not None and any(_reserved_by(worker, owner, now) for worker in workers):
             return
-        if now < step.no_claim_before:
+        if now < task_group.no_reservation_before:
             return
-        chosen = _workers_to_reserve(step, workers, now)
+        chosen = _workers_to_reserve(task_group, workers, now)
         if not chosen:
             return
-        duration_s = min(MAX_RESERVATION_S, 1.0 + RESERVATION_ESTIMATE_FACTOR * step.stage.estimate_s)
-        step.no_claim_before = now + 2.0 * duration_s
-        self._reservation_owners[service] = step
-        self._steps_with_reservations.add(step)
+        duration_s = min(MAX_RESERVATION_S, 1.0 + RESERVATION_ESTIMATE_FACTOR * task_group.stage.estimate_s)
+        task_group.no_reservation_before = now + 2.0 * duration_s
+        self._reservation_owners[service] = task_group
+        self._steps_with_reservations.add(task_group)
         for worker in chosen:
-            worker.reservation = Reservation(step, rank, now + duration_s)
+            worker.reservation = Reservation(task_group, rank, now + duration_s)
 
 
-def core_seconds(step: Step, seconds: float) -> float:
+def core_seconds(task_group: TaskGroup, seconds: float) -> float:
     """Return the work that one task of a stage does in that many seconds; a GPU counts as several cores."""
-    return (step.demand.cpu / 1_000.0 + CORES_PER_GPU * step.demand.gpu) * seconds
+    return (task_group.resource_request.cpu / 1_000.0 + CORES_PER_GPU * task_group.resource_request.gpu) * seconds
 
 
 def unsaved_work(run: Run, now: float) -> float:
     """Return the core-seconds lost if a run, and its gang if it has one, is stopped now."""
-    step = run.task.step
-    saves_work = step.stage.long_running or step.stage.checkpoints  # a stopped run saves a checkpoint first
+    task_group = run.task.task_group
+    saves_work = task_group.stage.long_running or task_group.stage.checkpoints  # a stopped run saves a checkpoint first
     lost_s = RESTART_COST_S if saves_work else RESTART_COST_S + now - run.placed_at
-    return core_seconds(step, lost_s) * (len(step.tasks) if step.gang else 1)
+    return core_seconds(task_group, lost_s) * (len(task_group.tasks) if task_group.gang else 1)
 
 
-def _meets_constraints(step: Step, worker: Worker) -> bool:
+def _meets_constraints(task_group: TaskGroup, worker: Worker) -> bool:
     """Whether label and anti-affinity let a task of the stage run on a worker, regardless of free resources."""
-    stage = step.stage
+    stage = task_group.stage
     if stage.node_selector and stage.node_selector not in worker.labels:
         return False
-    return not stage.anti_affinity or step.on_node.get(worker.node, 0) < stage.anti_affinity
+    return not stage.anti_affinity or task_group.runs_per_node.get(worker.node, 0) < stage.anti_affinity
 
 
-def _reserved_by(worker: Worker, step: Step, now: float) -> bool:
+def _reserved_by(worker: Worker, task_group: TaskGroup, now: float) -> bool:
     reservation = worker.reservation
-    return reservation is not None and reservation.step is step and now < reservation.until
+    return reservation is not None and reservation.task_group is task_group and now < reservation.until
 
 
-def _workers_to_reserve(step: Step, workers: Sequence[Worker], now: float) -> list[Worker]:
+def _workers_to_reserve(task_group: TaskGroup, workers: Sequence[Worker], now: float) -> list[Worker]:
     """Return the workers that would fit the stage soonest if nothing new started there; empty if there are too few."""
-    fitting = [worker for worker in workers if _meets_constraints(step, worker) and worker.fits_when_empty(step.demand)]
+    fitting = [
+        worker
+        for worker in workers
+        if _meets_constraints(task_group, worker) and worker.fits_when_empty(task_group.resource_request)
+    ]
     unreserved = [worker for worker in fitting if worker.reservation is None or now >= worker.reservation.until]
-    if not step.gang:
+    if not task_group.gang:
         return sorted(unreserved, key=_utilization)[:1]
-    groups = racks_by_free_cpu(unreserved) if step.stage.same_rack else []
+    groups = racks_by_free_cpu(unreserved) if task_group.stage.same_rack else []
     for group in [*groups, unreserved]:
-        chosen = _first_sufficient(step, sorted(group, key=_utilization))
+        chosen = _first_sufficient(task_group, sorted(group, key=_utilization))
         if chosen:
             return chosen
     return []
 
 
-def _first_sufficient(step: Step, workers: Sequence[Worker]) -> list[Worker]:
+def _first_sufficient(task_group: TaskGroup, workers: Sequence[Worker]) -> list[Worker]:
     """Return the first of the workers that would together fit all tasks if they were empty; empty list if too few."""
     chosen: list[Worker] = []
     fitting = 0
     for worker in workers:
         chosen.append(worker)
-        fitting += _tasks_when_empty(step, worker)
-        if fitting >= len(step.tasks):
+        fitting += _tasks_when_empty(task_group, worker)
+        if fitting >= len(task_group.tasks):
             return chosen
     return []
 
 
-def _tasks_when_empty(step: Step, worker: Worker) -> int:
+def _tasks_when_empty(task_group: TaskGroup, worker: Worker) -> int:
     """Return how many tasks of the stage would fit on the worker if it were empty."""
-    capacity, demand = worker.capacity, step.demand
-    pairs = ((capacity.cpu, demand.cpu), (capacity.memory_mb, demand.memory_mb), (capacity.gpu, demand.gpu))
-    fitting = min((available // requested for available, requested in pairs if requested), default=len(step.tasks))
-    return min(fitting, step.stage.anti_affinity) if step.stage.anti_affinity else fitting
+    capacity, resource_request = worker.capacity, task_group.resource_request
+    pairs = (
+        (capacity.cpu, resource_request.cpu),
+        (capacity.memory_mb, resource_request.memory_mb),
+        (capacity.gpu, resource_request.gpu),
+    )
+    fitting = min(
+        (available // requested for available, requested in pairs if requested), default=len(task_group.tasks)
+    )
+    return min(fitting, task_group.stage.anti_affinity) if task_group.stage.anti_affinity else fitting
 
 
 def _utilization(worker: Worker) -> float:
--- a/pipitledge/scheduling/workers.py
+++ b/pipitledge/scheduling/workers.py
@@ -8,21 +8,21 @@
 
 from pipitledge.scheduling.health import WorkerHealth
 from pipitledge.scheduling.queue_order import Rank
-from pipitledge.scheduling.tasks import Demand, Run, Step
+from pipitledge.scheduling.tasks import ResourceRequest, Run, TaskGroup
 from pipitledge.wire.messages import AgentReport, WorkerInfo
 
 HEARTBEATS_UNTIL_STALE = 2.5  # heartbeat intervals without a heartbeat until nothing new is placed
 REPORT_STALE_S = 2.5  # no new tasks are placed on a worker without a report for this long
 MAX_DEAD_INSTANCES = 8  # remembered per worker, to ignore late reports about them
 DRAINING = "draining"  # state of a worker that is about to leave, in its heartbeats
-NO_RESOURCES = Demand(0, 0, 0)
+NO_RESOURCES = ResourceRequest(0, 0, 0)
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class Reservation:
     """Reserves a worker for a stage: until it expires, stages that come later in the queue are not placed there."""
 
-    step: Step
+    task_group: TaskGroup
     rank: Rank
     until: float
 
@@ -44,7 +44,7 @@
     slots: int = 0
     labels: frozenset[str] = frozenset()
     rack: str = ""
-    capacity: Demand = NO_RESOURCES
+    capacity: ResourceRequest = NO_RESOURCES
     draining: bool = False
     leaves_at: float = math.inf  # when a draining worker terminates; infinite if not announced
     cold_until: float = 0.0  # until then it is slower than usual, because it was started recently
@@ -53,7 +53,7 @@
     free_gpu: int = 0
     runs: dict[str, Run] = field(default_factory=dict)  # by task; of all instances that may still be running
     # Runs that the worker reports and the primary did not assign, by task and run number; None: request unknown.
-    unexpected_runs: dict[tuple[str, int], Demand | None] = field(default_factory=dict)
+    unexpected_runs: dict[tuple[str, int], ResourceRequest | None] = field(default_factory=dict)
     unexpected_stops_sent_at: dict[tuple[str, int], float] = field(default_factory=dict)  # when a stop was last ordered
     last_end_received: int = 0  # number of the last ended run received from the present instance
     acknowledged: int = 0  # number of the last ended run acknowledged: its outcome is committed
@@ -131,7 +131,7 @@
 
     def update_from_heartbeat(self, info: WorkerInfo, now: float, age_s: float) -> None:
         """Update the worker from its newest heartbeat, which was `age_s` old at `now`."""
-        capacity = Demand(info.cpu, info.memory_mb, info.gpu)
+        capacity = ResourceRequest(info.cpu, info.memory_mb, info.gpu)
         self.service = info.service
         self.slots = info.slots
         if len(self.labels) != len(info.labels) or not self.labels.issuperset(info.labels):
@@ -146,31 +146,31 @@
             self.capacity = capacity
             self.recompute_free()
 
-    def add(self, run: Run, demand: Demand) -> None:
+    def add(self, run: Run, resource_request: ResourceRequest) -> None:
         """Add a run and allocate its resources, if it belongs to the present instance."""
         self.runs[run.task.name] = run
         if run.instance != self.instance:
             return
-        self.allocate(demand)
+        self.allocate(resource_request)
         if (
-            self.health.on_trial and not run.task.step.stage.long_running
+            self.health.on_trial and not run.task.task_group.stage.long_running
         ):  # a trial with a long-running task would never end
             self.health.trial_task = run.task.name
             self.health.trial_at = run.placed_at
 
-    def allocate(self, demand: Demand) -> None:
+    def allocate(self, resource_request: ResourceRequest) -> None:
         """Subtract a resource request from the free resources."""
-        self.free_cpu -= demand.cpu
-        self.free_memory_mb -= demand.memory_mb
-        self.free_gpu -= demand.gpu
+        self.free_cpu -= resource_request.cpu
+        self.free_memory_mb -= resource_request.memory_mb
+        self.free_gpu -= resource_request.gpu
 
-    def release(self, demand: Demand) -> None:
+    def release(self, resource_request: ResourceRequest) -> None:
         """Add a resource request back to the free resources."""
-        self.free_cpu += demand.cpu
-        self.free_memory_mb += demand.memory_mb
-        self.free_gpu += demand.gpu
+        self.free_cpu += resource_request.cpu
+        self.free_memory_mb += resource_request.memory_mb
+        self.free_gpu += resource_request.gpu
 
-    def remove(self, run: Run, demand: Demand) -> bool:
+    def remove(self, run: Run, resource_request: ResourceRequest) -> bool:
         """Remove a run and release its resources; returns False if the run is not on the worker."""
         if self.runs.get(run.task.name) is not run:
             return False
@@ -178,10 +178,10 @@
         if self.health.trial_task == run.task.name:
             self.health.trial_task = ""
         if run.instance == self.instance:
-            self.release(demand)
+            self.release(resource_request)
         return True
 
-    def update_unexpected_runs(self, unexpected_runs: dict[tuple[str, int], Demand | None]) -> bool:
+    def update_unexpected_runs(self, unexpected_runs: dict[tuple[str, int], ResourceRequest | None]) -> bool:
         """Replace the unexpected runs by those that the worker reports now; returns whether they changed."""
         if unexpected_runs == self.unexpected_runs:
             return False
@@ -194,32 +194,42 @@
 
     def recompute_free(self) -> None:
         """Compute the free resources from the capacity and all runs."""
-        used = [run.task.step.demand for run in self.runs.values() if run.instance == self.instance]
-        for demand in self.unexpected_runs.values():
-            used.append(self.capacity if demand is None else demand)  # a run of unknown size may use all of the worker
-        self.free_cpu = self.capacity.cpu - sum(demand.cpu for demand in used)
-        self.free_memory_mb = self.capacity.memory_mb - sum(demand.memory_mb for demand in used)
-        self.free_gpu = self.capacity.gpu - sum(demand.gpu for demand in used)
-
-    def fits(self, demand: Demand) -> bool:
+        used = [run.task.task_group.resource_request for run in self.runs.values() if run.instance == self.instance]
+        for resource_request in self.unexpected_runs.values():
+            used.append(
+                self.capacity if resource_request is None else resource_request
+            )  # a run of unknown size may use all of the worker
+        self.free_cpu = self.capacity.cpu - sum(resource_request.cpu for resource_request in used)
+        self.free_memory_mb = self.capacity.memory_mb - sum(resource_request.memory_mb for resource_request in used)
+        self.free_gpu = self.capacity.gpu - sum(resource_request.gpu for resource_request in used)
+
+    def fits(self, resource_request: ResourceRequest) -> bool:
         """Whether the free resources suffice for one more such task."""
-        return self.free_cpu >= demand.cpu and self.free_memory_mb >= demand.memory_mb and self.free_gpu >= demand.gpu
+        return (
+            self.free_cpu >= resource_request.cpu
+            and self.free_memory_mb >= resource_request.memory_mb
+            and self.free_gpu >= resource_request.gpu
+        )
 
-    def fits_when_empty(self, demand: Demand) -> bool:
+    def fits_when_empty(self, resource_request: ResourceRequest) -> bool:
         """Whether the capacity would suffice for such a task if the worker were empty."""
         capacity = self.capacity
-        return capacity.cpu >= demand.cpu and capacity.memory_mb >= demand.memory_mb and capacity.gpu >= demand.gpu
+        return (
+            capacity.cpu >= resource_request.cpu
+            and capacity.memory_mb >= resource_request.memory_mb
+            and capacity.gpu >= resource_request.gpu
+        )
 
-    def free_share_after(self, demand: Demand) -> float:
+    def free_share_after(self, resource_request: ResourceRequest) -> float:
         """Return the free share of the scarcest resource after placing such a task."""
         capacity = self.capacity
         share = 1.0
         if capacity.cpu:
-            share = (self.free_cpu - demand.cpu) / capacity.cpu
+            share = (self.free_cpu - resource_request.cpu) / capacity.cpu
         if capacity.memory_mb:
-            share = min(share, (self.free_memory_mb - demand.memory_mb) / capacity.memory_mb)
-        if capacity.gpu and demand.gpu:
-            share = min(share, (self.free_gpu - demand.gpu) / capacity.gpu)
+            share = min(share, (self.free_memory_mb - resource_request.memory_mb) / capacity.memory_mb)
+        if capacity.gpu and resource_request.gpu:
+            share = min(share, (self.free_gpu - resource_request.gpu) / capacity.gpu)
         return share
 
 
@@ -229,18 +239,18 @@
 
     workers: int = 0
     slots: int = 0
-    mean_worker: Demand = NO_RESOURCES  # average capacity per worker
+    mean_worker: ResourceRequest = NO_RESOURCES  # average capacity per worker
 
-    def share_of(self, demand: Demand) -> float:
+    def share_of(self, resource_request: ResourceRequest) -> float:
         """Return the share of the mean worker that such a task takes, of its scarcest resource."""
         mean = self.mean_worker
         share = 0.0
         if mean.cpu:
-            share = demand.cpu / mean.cpu
+            share = resource_request.cpu / mean.cpu
         if mean.memory_mb:
-            share = max(share, demand.memory_mb / mean.memory_mb)
+            share = max(share, resource_request.memory_mb / mean.memory_mb)
         if mean.gpu:
-            share = max(share, demand.gpu / mean.gpu)
+            share = max(share, resource_request.gpu / mean.gpu)
         return share
 
 
@@ -249,7 +259,7 @@
     count = len(workers)
     if not count:
         return ServiceCapacity()
-    mean = Demand(
+    mean = ResourceRequest(
         sum(worker.capacity.cpu for worker in workers) // count,
         sum(worker.capacity.memory_mb for worker in workers) // count,
         sum(worker.capacity.gpu for worker in workers) // count,
--- a/tests/system/start_judge.py
+++ b/tests/system/start_judge.py
@@ -44,7 +44,7 @@
             return
         if live.saved and live.saved not in self.checkpoints.get(self.checkpoint_owner(task), set()):
             self.report_violation(f"UNASKED {task}: checkpoint {live.saved}")
-        prompt = cluster.in_touch(worker.node) and not worker.taking_late
+        prompt = cluster.reachable(worker.node) and not worker.taking_late
         if prompt and cluster.cancelled.get(job, now) < now - cluster.bounds.cancel_ms / 1_000.0:
             self.report_violation(
                 f"UNASKED {task}: started {now - cluster.cancelled[job]:.2f} s after its cancellation"
@@ -92,7 +92,7 @@
         late = (
             acknowledged is not None and self.cluster.world.time > acknowledged + self.cluster.bounds.drain_ms / 1_000.0
         )
-        if late and self.cluster.in_touch(worker.node) and not worker.taking_late:
+        if late and self.cluster.reachable(worker.node) and not worker.taking_late:
             self.report_violation(f"DRAIN {task}")
 
     def ended(self, worker: ModelWorker, live: LiveRun, how: str) -> None:
--- a/tests/system/test_scheduling_queues.py
+++ b/tests/system/test_scheduling_queues.py
@@ -11,7 +11,7 @@
 from pipitledge.scheduling.job import Stage, Submission
 from pipitledge.scheduling.objectives import MAX_ESTIMATE_OVERRUN
 from pipitledge.scheduling.queue_order import WorkQueue
-from pipitledge.scheduling.tasks import Job, Step, new_step
+from pipitledge.scheduling.tasks import Job, TaskGroup, new_task_group
 from pipitledge.wire.messages import (
     AgentOrders,
     AgentReport,
@@ -20,7 +20,7 @@
     JOB,
     OTHER,
     THIRD,
-    WHOLE_CPU,
+    WORKER_CPU,
     SchedulingCase,
     body,
     first_runs_fail,
@@ -37,18 +37,18 @@
 class QueueOrder(SchedulingCase):
     """The order in which waiting stages are placed."""
 
-    def waiting_step(self, order: int, route: str, latest_start: float = 10.0, drain_s: float = 0.0) -> Step:
+    def waiting_step(self, order: int, route: str, latest_start: float = 10.0, drain_s: float = 0.0) -> TaskGroup:
         submission = Submission(spec="", stages=(Stage(count=1),))
         job = Job(job_id(order), route, SERVICE, submission, b"", 0, order, 0.0, PLAIN)
-        step = new_step(job, 0, 0)
+        step = new_task_group(job, 0, 0)
         step.latest_start, step.drain_s = latest_start, drain_s
         step.deadline, step.late_deadline = latest_start + 5.0, latest_start + 50.0
         return step
 
-    def ordered(self, *steps: Step) -> list[int]:
+    def ordered(self, *task_groups: TaskGroup) -> list[int]:
         """Return the order numbers of the jobs, as the queue sorts them."""
         queue = WorkQueue(lambda step: 0 if step.job.route == "urgent" else 1)
-        for step in steps:
+        for step in task_groups:
             queue.add(step, 0.0)
         return [step.job.order for step in queue.in_order()]
 
@@ -74,14 +74,14 @@
 
     def fill(self) -> None:
         """Fill all workers for a while with urgent runs, which are never preempted."""
-        self.submit(THIRD, body(stage(4, cpu=WHOLE_CPU)), 1.5, URGENT)
-        self.await_runs(THIRD, 4)
+        self.submit(THIRD, body(stage(4, cpu=WORKER_CPU)), 1.5, URGENT)
+        self.wait_for_runs(THIRD, 4)
 
     def test_urgent_job_overtakes_plain_job_on_a_full_cluster(self) -> None:
         self.make()
         self.fill()
-        self.submit(JOB, body(stage(4, cpu=WHOLE_CPU)))
-        self.submit(OTHER, body(stage(4, cpu=WHOLE_CPU)), route=URGENT)
+        self.submit(JOB, body(stage(4, cpu=WORKER_CPU)))
+        self.submit(OTHER, body(stage(4, cpu=WORKER_CPU)), route=URGENT)
         self.assert_completes(JOB)
         self.assertLess(
             max(start[0] for start in self.starts_of(OTHER)), min(start[0] for start in self.starts_of(JOB))
@@ -90,10 +90,10 @@
     def test_small_job_overtakes_large_one_with_the_same_latest_start(self) -> None:
         self.make()
         self.fill()
-        self.submit(JOB, body(*(stage(4, cpu=WHOLE_CPU) for _ in range(4))))
-        self.submit(OTHER, body(stage(4, cpu=WHOLE_CPU)))
+        self.submit(JOB, body(*(stage(4, cpu=WORKER_CPU) for _ in range(4))))
+        self.submit(OTHER, body(stage(4, cpu=WORKER_CPU)))
         context = self.primary.scheduler.context
-        large, small = context.jobs[JOB].steps[0, 0], context.jobs[OTHER].steps[0, 0]
+        large, small = context.jobs[JOB].task_groups[0, 0], context.jobs[OTHER].task_groups[0, 0]
         self.assertLess(large.latest_start, small.latest_start, "the large one would go first by its latest start")
         self.assertLess(small.latest_start, large.latest_start + 0.1)
         self.assert_completes(JOB)
@@ -107,46 +107,46 @@
 
     def fill(self, **rest: Any) -> None:
         """Fill all workers with runs of plain priority."""
-        self.submit(JOB, body(stage(4, cpu=WHOLE_CPU, **rest)), 20.0)
-        self.await_runs(JOB, 4)
+        self.submit(JOB, body(stage(4, cpu=WORKER_CPU, **rest)), 20.0)
+        self.wait_for_runs(JOB, 4)
 
     def test_urgent_task_preempts_a_plain_run(self) -> None:
         cluster = self.make()
         self.fill(checkpoints=True)
-        self.submit(OTHER, body(stage(cpu=WHOLE_CPU)), 1.0, URGENT)
-        self.await_runs(OTHER, limit=2.0)
+        self.submit(OTHER, body(stage(cpu=WORKER_CPU)), 1.0, URGENT)
+        self.wait_for_runs(OTHER, limit=2.0)
         stopped = self.ends_of(JOB, "stopped")
         self.assertEqual(1, len(stopped))
         self.assertEqual(stopped[0][4], self.starts_of(OTHER)[0][3])
         self.assert_completes(OTHER)
-        self.await_that(lambda: len(cluster.runs_of(JOB)) == 4, 5.0)
-        self.assertEqual("running", cluster.ask(JOB))
+        self.wait_until(lambda: len(cluster.runs_of(JOB)) == 4, 5.0)
+        self.assertEqual("running", cluster.job_state(JOB))
 
     def test_partial_pass_preempts_for_an_unplaced_urgent_task(self) -> None:
         cluster = self.make()
         self.fill(checkpoints=True)
-        self.submit(OTHER, body(stage(cpu=WHOLE_CPU)))  # a waiting task causes passes, only some of them full
+        self.submit(OTHER, body(stage(cpu=WORKER_CPU)))  # a waiting task causes passes, only some of them full
         filling = self.primary.scheduler.context.jobs[JOB]
         for number in range(4):
             cluster.run(0.07)
-            self.submit(job_id(10 + number), body(stage(cpu=WHOLE_CPU)), 20.0, URGENT)  # submit takes 0.05 s
-            stopping = [run for step in filling.steps.values() for run in step.runs() if run.stop]
+            self.submit(job_id(10 + number), body(stage(cpu=WORKER_CPU)), 20.0, URGENT)  # submit takes 0.05 s
+            stopping = [run for step in filling.task_groups.values() for run in step.runs() if run.stop_cause]
             stopped = self.ends_of(JOB, "stopped")
             self.assertEqual(number + 1, len(stopping) + len(stopped))
 
     def test_plain_tasks_do_not_preempt(self) -> None:
         cluster = self.make()
         self.fill(checkpoints=True)
-        self.submit(OTHER, body(stage(cpu=WHOLE_CPU)))
+        self.submit(OTHER, body(stage(cpu=WORKER_CPU)))
         cluster.run(4.0)
         self.assertEqual([], self.ends_of(JOB, "stopped"))
-        self.assertEqual("pending", cluster.ask(OTHER))
+        self.assertEqual("pending", cluster.job_state(OTHER))
 
     def test_urgent_runs_are_not_preempted(self) -> None:
         cluster = self.make()
-        self.submit(JOB, body(stage(4, cpu=WHOLE_CPU, checkpoints=True)), 20.0, URGENT)
-        self.await_runs(JOB, 4)
-        self.submit(OTHER, body(stage(cpu=WHOLE_CPU)), 1.0, URGENT)
+        self.submit(JOB, body(stage(4, cpu=WORKER_CPU, checkpoints=True)), 20.0, URGENT)
+        self.wait_for_runs(JOB, 4)
+        self.submit(OTHER, body(stage(cpu=WORKER_CPU)), 1.0, URGENT)
         cluster.run(4.0)
         self.assertEqual([], self.ends_of(JOB, "stopped"))
         self.assertEqual([], self.starts_of(OTHER))
@@ -155,7 +155,7 @@
         cluster = self.make()
         self.fill()
         cluster.run(6.0)
-        self.submit(OTHER, body(stage(cpu=WHOLE_CPU)), 1.0, URGENT)
+        self.submit(OTHER, body(stage(cpu=WORKER_CPU)), 1.0, URGENT)
         cluster.run(3.0)
         self.assertEqual([], self.ends_of(JOB, "stopped"))
 
@@ -169,7 +169,7 @@
     def objective_s(self, step: int = 0) -> float:
         """Seconds from the acceptance of the job to its deadline."""
         job = self.primary.scheduler.context.jobs[JOB]
-        return job.steps[0, step].deadline - job.accepted_at
+        return job.task_groups[0, step].deadline - job.accepted_at
 
     def test_initial_deadline_follows_the_estimates(self) -> None:
         self.make()
@@ -179,41 +179,41 @@
     def test_longer_runs_postpone_the_deadline_of_all_stages(self) -> None:
         self.make()
         self.submit(JOB, body(stage(2, estimatedMs=1_000), stage(dependsOn=[0], estimatedMs=1_000)), 2.0)
-        self.await_runs(f"{JOB}.0.1")
+        self.wait_for_runs(f"{JOB}.0.1")
         later_s = self.STRETCH * 1.0
         expected_s = self.STRETCH * 2.0 + self.TARGET_S + later_s
         self.assertAlmostEqual(expected_s, self.objective_s(0), delta=0.4 * self.STRETCH)
         self.assertEqual(self.objective_s(0), self.objective_s(1))
-        step = self.primary.scheduler.context.jobs[JOB].steps[0, 1]
+        step = self.primary.scheduler.context.jobs[JOB].task_groups[0, 1]
         self.assertAlmostEqual(1.0, step.deadline - step.latest_start, places=3)
 
     def test_shorter_runs_bring_the_deadline_forward(self) -> None:
         self.make()
         self.submit(JOB, body(stage(2, estimatedMs=4_000), stage(dependsOn=[0], estimatedMs=1_000)), 1.0)
         before_s = self.objective_s(1)
-        self.await_runs(f"{JOB}.0.1")
+        self.wait_for_runs(f"{JOB}.0.1")
         self.assertLess(self.objective_s(1), before_s - self.STRETCH * 2.5)
 
     def test_duration_of_a_failed_run_counts(self) -> None:
         self.make()
         self.submit(JOB, body(stage(), stage(dependsOn=[0])), 1.0, fails=first_runs_fail(1))
         before_s = self.objective_s(1)
-        self.await_runs(f"{JOB}.0.1")
+        self.wait_for_runs(f"{JOB}.0.1")
         self.assertGreater(self.objective_s(1), before_s + 0.2 * self.STRETCH)
 
     def test_run_on_a_stalled_worker_counts_at_most_three_times_its_estimate(self) -> None:
         cluster = self.make(workers=1)
         self.submit(JOB, body(stage(estimatedMs=200), stage(dependsOn=[0], estimatedMs=200)), 0.2)
         cluster.workers[0].set_speed(0.02)
-        self.await_runs(f"{JOB}.0.1", limit=30.0)
+        self.wait_for_runs(f"{JOB}.0.1", limit=30.0)
         self.assertLess(self.objective_s(1), self.STRETCH * 0.2 * (MAX_ESTIMATE_OVERRUN + 1.0) + self.TARGET_S + 0.01)
 
     def test_drain_time_shrinks_as_stages_complete(self) -> None:
         self.make()
         self.submit(JOB, body(stage(4, cpu=4_000), stage(4, cpu=4_000, dependsOn=[0])), 1.0)
-        step = self.primary.scheduler.context.jobs[JOB].steps[0, 1]
+        step = self.primary.scheduler.context.jobs[JOB].task_groups[0, 1]
         before_s = step.drain_s
-        self.await_runs(f"{JOB}.0.1")
+        self.wait_for_runs(f"{JOB}.0.1")
         self.assertAlmostEqual(0.5 * before_s, step.drain_s, delta=0.2 * before_s)
 
 
@@ -223,19 +223,19 @@
     def test_failed_task_goes_before_the_others_of_its_stage(self) -> None:
         self.make(workers=2)
         first = f"{JOB}.0.0.0"
-        self.submit(JOB, body(stage(8, cpu=WHOLE_CPU)), 1.0, fails=lambda task, run, node: task == first and run == 1)
-        self.await_that(lambda: bool(self.ends_of(JOB, "done")), 10.0)
-        self.await_that(lambda: len(self.starts_of(first)) == 2, 10.0)
+        self.submit(JOB, body(stage(8, cpu=WORKER_CPU)), 1.0, fails=lambda task, run, node: task == first and run == 1)
+        self.wait_until(lambda: bool(self.ends_of(JOB, "done")), 10.0)
+        self.wait_until(lambda: len(self.starts_of(first)) == 2, 10.0)
         self.assertLessEqual(len({start[1] for start in self.starts_of(JOB)}), 5, "other tasks of its stage went first")
 
     def test_suspect_workers_are_avoided_only_briefly(self) -> None:
         cluster = self.make(workers=2)
-        self.submit(JOB, body(stage(cpu=WHOLE_CPU)), 0.3, fails=first_runs_fail(1))
-        failed_on = self.await_runs(JOB)[0][0]
+        self.submit(JOB, body(stage(cpu=WORKER_CPU)), 0.3, fails=first_runs_fail(1))
+        failed_on = self.wait_for_runs(JOB)[0][0]
         other = next(worker.node for worker in cluster.workers if worker.node != failed_on)
         context = self.primary.scheduler.context
         context.workers[other].health.record_failure(OTHER, context.clock.now())
-        self.await_that(lambda: len(self.starts_of(JOB)) == 2, 3.0)
+        self.wait_until(lambda: len(self.starts_of(JOB)) == 2, 3.0)
         self.assertEqual(other, self.starts_of(JOB)[1][3])
         waited_s = self.starts_of(JOB)[1][0] - self.ends_of(JOB, "failed")[0][0]
         self.assertLess(waited_s, 0.5 * (SUSPECT_AVOIDANCE_S + NODE_AVOIDANCE_S))
@@ -250,20 +250,20 @@
         replies: list[Struct] = []
         report = AgentReport(node=node, incarnation=known.incarnation, number=known.report_number)
         self.primary.process.handlers.call(report, replies.append)
-        self.await_that(lambda: bool(replies), 1.0)
+        self.wait_until(lambda: bool(replies), 1.0)
         assert isinstance(replies[0], AgentOrders)
         return replies[0].poll_interval_ms
 
     def test_agents_poll_faster_while_tasks_wait_for_resources(self) -> None:
         cluster = self.make(workers=1)
         self.assertEqual(300, self.poll_interval_ms("w0"))
-        self.submit(JOB, body(stage(cpu=WHOLE_CPU)), 2.0)
-        self.await_runs(JOB)
+        self.submit(JOB, body(stage(cpu=WORKER_CPU)), 2.0)
+        self.wait_for_runs(JOB)
         self.assertEqual(300, self.poll_interval_ms("w0"))
-        self.submit(OTHER, body(stage(cpu=WHOLE_CPU)), 2.0)
+        self.submit(OTHER, body(stage(cpu=WORKER_CPU)), 2.0)
         cluster.run(0.2)
         self.assertEqual(100, self.poll_interval_ms("w0"))
-        self.await_runs(OTHER)
+        self.wait_for_runs(OTHER)
         self.assertEqual(300, self.poll_interval_ms("w0"))
 
 
