--- a/benchmarks/control_state.py
+++ b/benchmarks/control_state.py
@@ -20,7 +20,7 @@
 SIZES = (10, 100, 1_000, 10_000)
 ROUTES = 170
 JOB_BYTES = 700  # of a job's and its tasks' records, for one of eight tasks
-REPAIR_BYTES = 1 << 20
+MAX_REPAIR_BYTES = 1 << 20
 
 
 def filled(count: int) -> StateMap:
@@ -47,7 +47,7 @@
         for index in differing:
             contents.append(source.content_of(index))
             taken += sum(len(write.key) + len(write.value) for write in contents[-1].writes)
-            if taken >= REPAIR_BYTES:
+            if taken >= MAX_REPAIR_BYTES:
                 break
         size += len(encode(RepairReply(granted=True, contents=contents)))
         calls += 1
--- a/pipitledge/emulator/cluster/replica_faults.py
+++ b/pipitledge/emulator/cluster/replica_faults.py
@@ -11,7 +11,7 @@
 from pipitledge.emulator.cluster.replica_group import Client, ReplicaGroup
 from pipitledge.emulator.cluster.replica_watch import Watch
 from pipitledge.emulator.cluster.virtual import World
-from pipitledge.replication.quorum import holds_state
+from pipitledge.replication.quorum import is_in_sync
 from pipitledge.wire.messages import View
 
 RESTART_SECONDS = 0.15
@@ -135,7 +135,7 @@
         machine, replica = self.group.machines[name], self.group.replicas.get(name)
         if name in self._gone or replica is None or machine.process is None:
             return False
-        return holds_state(view, name, replica._env.me.disk_id) and not replica._witness.amnesiac
+        return is_in_sync(view, name, replica._env.me.disk_id) and not replica._witness.amnesiac
 
     def _lose_disk(self, name: str) -> None:
         self._lost_disks.add(name)
--- a/pipitledge/emulator/cluster/replica_group.py
+++ b/pipitledge/emulator/cluster/replica_group.py
@@ -53,7 +53,7 @@
     def counted(self) -> list[NodeDescriptor]:
         """All that started so far, itself among them."""
         for name, replica in self._group.replicas.items():
-            self._group.descriptors[name].bootstrap = replica.awaits_founding
+            self._group.descriptors[name].bootstrap = replica.awaits_bootstrap
         known = self._group.groups.get(self._machine.name)
         return [node for name, node in self._group.descriptors.items() if known is None or name in known]
 
--- a/pipitledge/emulator/cluster/replica_watch.py
+++ b/pipitledge/emulator/cluster/replica_watch.py
@@ -4,7 +4,7 @@
 
 from pipitledge.emulator.cluster.replica_group import Client, ReplicaGroup
 from pipitledge.emulator.cluster.virtual import Machine
-from pipitledge.replication.quorum import holds_state
+from pipitledge.replication.quorum import is_in_sync
 from pipitledge.replication.replica import Replica
 from pipitledge.wire.messages import View
 
@@ -80,7 +80,7 @@
             replica = self._group.replicas.get(name)
             if machine.process is None or replica is None:
                 continue
-            if holds_state(view, name, replica._env.me.disk_id):
+            if is_in_sync(view, name, replica._env.me.disk_id):
                 self._demand_entries(name, "is in the set")
 
     def _demand_entries(self, name: str, part: str) -> None:
--- a/pipitledge/emulator/cluster/view_model.py
+++ b/pipitledge/emulator/cluster/view_model.py
@@ -21,15 +21,15 @@
 from pipitledge.replication.amnesia import AmnesiaRecovery
 from pipitledge.replication.environment import Environment
 from pipitledge.replication.lease import Lease
-from pipitledge.replication.proposal import Outcome, Proposal
+from pipitledge.replication.proposal import ProposalOutcome, Proposal
 from pipitledge.replication.quorum import Tolerance
 from pipitledge.replication.records import EpochRecord, decode_epochs
-from pipitledge.replication.timing import PROPOSAL_SECONDS
+from pipitledge.replication.timing import PROPOSAL_TIMEOUT_SECONDS
 from pipitledge.replication.witness import Witness
 from pipitledge.runtime.ports import ReplyHandler
 from pipitledge.wire.messages import EpochQuery, Member, NodeDescriptor, Prepare, Promise, Propose, View
 
-PASS_SECONDS = PROPOSAL_SECONDS + 0.05  # one step of time: proposals under way are over, leases are not
+PASS_SECONDS = PROPOSAL_TIMEOUT_SECONDS + 0.05  # one step of time: proposals under way are over, leases are not
 SHORT_SECONDS = 0.1  # timers due that soon may run without time passing otherwise
 FIRST_EPOCH = 2 * epochs.FIRST_ORDINARY_EPOCH
 FIRST_TIME = 100.0
@@ -198,7 +198,7 @@
         def derive(base: View | None, promises: dict[str, Promise]) -> View | None:
             if base is None or base.primary != self.env.name or base.term != leads.term:
                 return None
-            situation = target_view.Situation(
+            situation = target_view.ViewInputs(
                 self.env.me, self.group.tolerance, self.group.backups_of(self), self.group.spares_of(self)
             )
             target = target_view.target_view(situation, base, base.epoch == leads.epoch)
@@ -214,7 +214,7 @@
         self.proposal = Proposal(self.env, self.witness, epoch, start, derive, self._ended, grace=0.06)
         self.proposal.run()
 
-    def _ended(self, outcome: Outcome) -> None:
+    def _ended(self, outcome: ProposalOutcome) -> None:
         self.proposal = None
         self.highest_epoch = max(self.highest_epoch, outcome.highest_epoch)
         view = outcome.decided
@@ -277,7 +277,7 @@
         """Whether it holds everything."""
         return self.up and self.equal
 
-    def held_off(self) -> bool:
+    def in_rejoin_backoff(self) -> bool:
         """Never."""
         return False
 
@@ -296,12 +296,12 @@
 
     def has_caught_up(self, view: View) -> bool:
         """Whether the set holds its disk; for one that lost its promises, whether it was told so."""
-        if not quorum.holds_state(view, self.name, self.disk_id):
+        if not quorum.is_in_sync(view, self.name, self.disk_id):
             return False
         life = self.life
         if life is None or not life.witness.amnesiac:
             return True
-        return quorum.holds_state(life.membership.view, self.name, self.disk_id)
+        return quorum.is_in_sync(life.membership.view, self.name, self.disk_id)
 
     def key(self) -> tuple[object, ...]:
         """What tells states of it apart."""
@@ -330,7 +330,7 @@
             life.lease.until if life.lease is not None else 0.0,
             life.witness._lease_until,
             life.witness._lease_holder,
-            life.witness._quiet_until,
+            life.witness._restart_lease_until,
             under_way,
             tuple(sorted(timer.when for timer in life.timers if timer.action is not None)),
             life.membership.view.epoch if life.membership.view is not None else 0,
@@ -368,7 +368,7 @@
             node.disk = msgspec.msgpack.encode(msgspec.structs.replace(own, disk_id=index))
             self._start(node)
             assert node.life is not None
-            node.life.witness._quiet_until = 0.0
+            node.life.witness._restart_lease_until = 0.0
             node.life.membership.view = first
         self.decided(first)
         leader = self.nodes[names[0]].life
@@ -425,7 +425,7 @@
         for node in self.nodes.values():
             life = node.life
             reached = life is not None and self.together(node.name, leader.node.name)
-            if life is not None and reached and life.witness.obeys(leads.epoch, leads.term, leads.primary):
+            if life is not None and reached and life.witness.accepts_primary(leads.epoch, leads.term, leads.primary):
                 yield node
 
     def backups_of(self, leader: Life) -> dict[str, target_view.BackupState]:
@@ -487,7 +487,7 @@
             yield "wipe"
         idle = life.proposal is None
         if life.leads is None:
-            eligible = not life.witness.amnesiac and quorum.holds_state(life.latest(), node.name, node.disk_id)
+            eligible = not life.witness.amnesiac and quorum.is_in_sync(life.latest(), node.name, node.disk_id)
             if idle and eligible and self._left("takeovers"):
                 yield "takeover"
             return
@@ -631,7 +631,7 @@
             if follower is not node and follower.entries == before:
                 follower.entries |= {entry}
                 holders.add((follower.name, follower.disk_id))
-        enough = life.leads is not None and self.tolerance.suffices(life.leads.in_sync, life.leads.members)
+        enough = life.leads is not None and self.tolerance.satisfied_by(life.leads.in_sync, life.leads.members)
         if enough and life.relied_on() <= holders:
             self.acknowledged |= node.entries
 
@@ -652,7 +652,7 @@
         view = self.latest_decided()
         for member in view.members:
             node = self.nodes[member.name]
-            if quorum.holds_state(view, node.name, node.disk_id) and not self.acknowledged <= node.entries:
+            if quorum.is_in_sync(view, node.name, node.disk_id) and not self.acknowledged <= node.entries:
                 raise Violation(f"{node.name} is in the set without {sorted(self.acknowledged - node.entries)}")
 
     def key(self) -> int:
--- a/pipitledge/programs/control.py
+++ b/pipitledge/programs/control.py
@@ -128,7 +128,7 @@
 
     def describe(_view: View | None = None) -> None:
         _ = replica.view  # takes over a view that membership has heard of
-        core.me.bootstrap = replica.awaits_founding
+        core.me.bootstrap = replica.awaits_bootstrap
 
     core.membership.on_view(describe)
     describe()
--- a/pipitledge/programs/node.py
+++ b/pipitledge/programs/node.py
@@ -95,7 +95,7 @@
         if control is None:
             return False
         answers = list[bool]()
-        self._core.host.run(lambda: answers.append(control.replica.relied_on()), "termination")
+        self._core.host.run(lambda: answers.append(control.replica.is_in_sync_member()), "termination")
         return any(answers)
 
     def _serve_clients(self) -> None:
--- a/pipitledge/replication/amnesia.py
+++ b/pipitledge/replication/amnesia.py
@@ -15,8 +15,8 @@
 from msgspec import Struct
 
 from pipitledge.replication.environment import Environment
-from pipitledge.replication.quorum import meets_every_quorum, member_of, voters
-from pipitledge.replication.timing import AMNESIA_RETRY_SECONDS, AMNESIA_SECONDS, PROPOSAL_SECONDS
+from pipitledge.replication.quorum import intersects_every_quorum, member_of, voters
+from pipitledge.replication.timing import AMNESIA_RETRY_SECONDS, AMNESIA_WAIT_SECONDS, PROPOSAL_TIMEOUT_SECONDS
 from pipitledge.replication.witness import Witness
 from pipitledge.wire.messages import EpochQuery, EpochReply, View
 
@@ -55,12 +55,12 @@
 
     def start(self) -> None:
         """Wait until the proposals of before are over, then ask."""
-        self._env.clock.at(self._env.clock.now() + AMNESIA_SECONDS, self._ask)
+        self._env.clock.at(self._env.clock.now() + AMNESIA_WAIT_SECONDS, self._ask)
 
     def _ask(self) -> None:
-        if not self._witness.amnesiac or self._taken_in():
+        if not self._witness.amnesiac or self._recover_from_view():
             return
-        self._env.clock.at(self._env.clock.now() + AMNESIA_RETRY_SECONDS + PROPOSAL_SECONDS, self._ask)
+        self._env.clock.at(self._env.clock.now() + AMNESIA_RETRY_SECONDS + PROPOSAL_TIMEOUT_SECONDS, self._ask)
         views = [view for view in (self._latest(), self._heard) if view is not None]
         self._view = max(views, key=lambda view: view.epoch, default=None)
         if self._round and self._round % ROUNDS_BETWEEN_WARNINGS == 0:
@@ -84,7 +84,7 @@
             also_amnesiac=",".join(sorted(self._also_amnesiac)),
         )
 
-    def _taken_in(self) -> bool:
+    def _recover_from_view(self) -> bool:
         """Vote again if a decided view names this disk."""
         view = self._decided()
         member = member_of(view, self._env.name)
@@ -96,7 +96,7 @@
     def _ask_one(self, name: str, number: int) -> None:
         address = self._env.address_of(name, self._view)
         request = EpochQuery(name=self._env.name)
-        self._env.network.call(address, request, PROPOSAL_SECONDS, lambda reply: self._on_reply(name, number, reply))
+        self._env.network.call(address, request, PROPOSAL_TIMEOUT_SECONDS, lambda reply: self._on_reply(name, number, reply))
 
     def _on_reply(self, name: str, number: int, reply: Struct | None) -> None:
         if number != self._round or not isinstance(reply, EpochReply) or not self._witness.amnesiac:
@@ -111,7 +111,7 @@
         view = self._view
         if view is None or (self._heard is not None and self._heard.epoch > view.epoch):
             return  # the next round asks the members of the later view
-        if meets_every_quorum(view, self._replies):
+        if intersects_every_quorum(view, self._replies):
             self._witness.recover(list(self._replies.values()), self._recovered)
 
     def _note(self, view: View | None) -> None:
--- a/pipitledge/replication/backup.py
+++ b/pipitledge/replication/backup.py
@@ -9,8 +9,8 @@
 from pipitledge.replication.environment import Environment
 from pipitledge.replication.recent_log import Position
 from pipitledge.replication.state_map import StateMap
-from pipitledge.replication.store import Store
-from pipitledge.replication.timing import REPAIR_RETRY_SECONDS, REPAIR_SECONDS
+from pipitledge.replication.store import StateStore
+from pipitledge.replication.timing import REPAIR_RETRY_SECONDS, REPAIR_TIMEOUT_SECONDS
 from pipitledge.replication.witness import Witness
 from pipitledge.wire.messages import Append, AppendReply, RepairReply, RepairRequest, View
 
@@ -31,7 +31,7 @@
         self,
         env: Environment,
         witness: Witness,
-        store: Store,
+        store: StateStore,
         view: Callable[[], View | None],
         on_primary_heard: Callable[[], None],
     ) -> None:
@@ -52,7 +52,7 @@
 
     def on_append(self, message: Append, reply: Callable[[AppendReply], None]) -> None:
         """Take entries that follow this node's own state; answer once they are on the disk."""
-        if not self._obeys(message.epoch, message.term, message.primary):
+        if not self._accepts_primary(message.epoch, message.term, message.primary):
             reply(self._refusal(diverged=False))
             return
         self._on_primary_heard()
@@ -62,17 +62,17 @@
                 self._start_repair(message.primary, message.term)
             return
         self._repair = None
-        followed = self._witness.follow(message.epoch, message.primary)
+        followed = self._witness.promise_to_primary(message.epoch, message.primary)
         if message.entries:
             self._store.append(message.entries)
         answer = self._answer(accepted=True)
         self._when_durable(followed, lambda: reply(answer))
 
-    def _obeys(self, epoch: int, term: int, primary: str) -> bool:
+    def _accepts_primary(self, epoch: int, term: int, primary: str) -> bool:
         return (
             primary != self._env.name
             and term >= self._store.position.term
-            and self._witness.obeys(epoch, term, primary)
+            and self._witness.accepts_primary(epoch, term, primary)
         )
 
     def _when_durable(self, promise_too: bool, action: Callable[[], None]) -> None:
@@ -116,7 +116,7 @@
             digests=repair.copy.digests(),
         )
         address = self._env.address_of(repair.primary, self._view())
-        self._env.network.call(address, request, REPAIR_SECONDS, lambda reply: self._on_reply(repair, reply))
+        self._env.network.call(address, request, REPAIR_TIMEOUT_SECONDS, lambda reply: self._on_reply(repair, reply))
 
     def _on_reply(self, repair: _Repair, reply: Struct | None) -> None:
         if self._repair is not repair:
@@ -124,7 +124,7 @@
         if not isinstance(reply, RepairReply):
             self._ask_later(repair)
             return
-        if not reply.granted or reply.term != repair.term or not self._obeys(reply.epoch, reply.term, repair.primary):
+        if not reply.granted or reply.term != repair.term or not self._accepts_primary(reply.epoch, reply.term, repair.primary):
             self._repair = None
             return
         for content in reply.contents:
@@ -142,7 +142,7 @@
 
     def _finish(self, repair: _Repair, reply: RepairReply) -> None:
         self._repair = None
-        if self._witness.follow(reply.epoch, repair.primary):
+        if self._witness.promise_to_primary(reply.epoch, repair.primary):
             self._witness.persist(lambda: None)
         self._store.replace(repair.copy, Position(reply.term, reply.sequence))
         self._env.log.info("state_repaired", primary=repair.primary, term=reply.term, sequence=reply.sequence)
--- a/pipitledge/replication/founding.py
+++ b/pipitledge/replication/bootstrap.py
@@ -9,34 +9,34 @@
 
 from pipitledge.replication.environment import Environment
 from pipitledge.replication.initial_members import as_member
-from pipitledge.replication.quorum import has_quorum, holds_state
+from pipitledge.replication.quorum import has_quorum, is_in_sync
 from pipitledge.replication.timing import (
-    FOUNDING_LIMIT_SECONDS,
-    FOUNDING_QUIET_SECONDS,
-    FOUNDING_SECONDS,
-    FOUNDING_TICK_SECONDS,
-    FOUNDING_TURN_SECONDS,
+    BOOTSTRAP_REDUCED_SIZE_AFTER_SECONDS,
+    BOOTSTRAP_QUIET_SECONDS,
+    BOOTSTRAP_MIN_WAIT_SECONDS,
+    BOOTSTRAP_POLL_SECONDS,
+    BOOTSTRAP_TURN_SECONDS,
 )
 from pipitledge.wire.messages import Member, NodeDescriptor, Promise, View
 
 
-class Founding:
+class Bootstrap:
     """Gathers the nodes of the first start; calls `propose` with those known when it is this node's turn to found."""
 
     def __init__(
         self,
         env: Environment,
         founded: Callable[[], bool],
-        may_found: Callable[[], bool],
+        may_bootstrap: Callable[[], bool],
         propose: Callable[[list[Member]], None],
     ) -> None:
         """`founded` tells whether a view is known; `may_found` whether enough of the network has been reached."""
         self._env = env
         self._founded = founded
-        self._may_found = may_found
+        self._may_accept_bootstrap = may_bootstrap
         self._propose = propose
         self._started_at = env.clock.now()
-        self._founders: dict[str, NodeDescriptor] = {}
+        self._bootstrap_nodes: dict[str, NodeDescriptor] = {}
         self._known: list[str] = []
         self._changed_at = self._started_at
         self._not_before = 0.0
@@ -47,7 +47,7 @@
 
     def wait_for_other(self) -> None:
         """Another node is founding: it has its turn."""
-        self._not_before = self._env.clock.now() + FOUNDING_TURN_SECONDS
+        self._not_before = self._env.clock.now() + BOOTSTRAP_TURN_SECONDS
 
     def failed(self) -> None:
         """An attempt of this node was not decided."""
@@ -56,7 +56,7 @@
     def _tick(self) -> None:
         if self._founded():
             return
-        self._env.clock.at(self._env.clock.now() + FOUNDING_TICK_SECONDS, self._tick)
+        self._env.clock.at(self._env.clock.now() + BOOTSTRAP_POLL_SECONDS, self._tick)
         members = self._members()
         self._note([member.name for member in members])
         if self._is_time(members):
@@ -69,12 +69,12 @@
     def _look(self) -> None:
         for node in self._env.membership.counted():
             if node.bootstrap and node.name != self._env.name:
-                self._founders[node.name] = node
+                self._bootstrap_nodes[node.name] = node
 
     def _members(self) -> list[Member]:
         """This node and all others that started with the system, in the order of their names."""
         self._look()
-        members = [as_member(node) for node in self._founders.values()]
+        members = [as_member(node) for node in self._bootstrap_nodes.values()]
         return sorted([*members, self._env.me], key=lambda member: member.name)
 
     def _note(self, names: list[str]) -> None:
@@ -84,20 +84,20 @@
 
     def _is_time(self, members: list[Member]) -> bool:
         now = self._env.clock.now()
-        ready_at = max(self._started_at + FOUNDING_SECONDS, self._changed_at + FOUNDING_QUIET_SECONDS)
+        ready_at = max(self._started_at + BOOTSTRAP_MIN_WAIT_SECONDS, self._changed_at + BOOTSTRAP_QUIET_SECONDS)
         turn = self._known.index(self._env.name)
-        if now < max(ready_at + turn * FOUNDING_TURN_SECONDS, self._not_before):
+        if now < max(ready_at + turn * BOOTSTRAP_TURN_SECONDS, self._not_before):
             return False
         return self._enough(members, now - self._started_at)
 
     def _enough(self, members: list[Member], waited: float) -> bool:
         """Whether the nodes known bear the faults to be tolerated; much later, whether they can start at all."""
         machines = self._env.tolerance.machines
-        least = 2 * machines + 1 if waited < FOUNDING_LIMIT_SECONDS else machines + 1
-        return len(members) >= least and self._may_found()
+        least = 2 * machines + 1 if waited < BOOTSTRAP_REDUCED_SIZE_AFTER_SECONDS else machines + 1
+        return len(members) >= least and self._may_accept_bootstrap()
 
 
-def founding_view(
+def bootstrap_view(
     env: Environment, epoch: int, start: View, base: View | None, promises: dict[str, Promise]
 ) -> View | None:
     """The first view: all that answered hold everything, as there is nothing yet. None if others were faster."""
@@ -107,9 +107,9 @@
     in_sync = [member.name for member in members if member.name in promises]
     view = View(epoch=epoch, term=epoch, primary=env.name, in_sync=in_sync, members=members)
     most = 2 * len(in_sync) > len(members)  # nothing is founded by the second vote of one member
-    if not most or not has_quorum(view, in_sync) or not env.tolerance.suffices(in_sync, members):
+    if not most or not has_quorum(view, in_sync) or not env.tolerance.satisfied_by(in_sync, members):
         return None
-    return view if holds_state(view, env.name, env.me.disk_id) else None
+    return view if is_in_sync(view, env.name, env.me.disk_id) else None
 
 
 def _with_disk(env: Environment, member: Member, promise: Promise | None) -> Member:
--- a/pipitledge/replication/election.py
+++ b/pipitledge/replication/election.py
@@ -7,21 +7,21 @@
 from msgspec.structs import replace
 
 from pipitledge.replication.environment import Environment
-from pipitledge.replication.inquiry import ViewInquiry
-from pipitledge.replication.quorum import holds_state, member_of
+from pipitledge.replication.view_discovery import ViewDiscovery
+from pipitledge.replication.quorum import is_in_sync, member_of
 from pipitledge.replication.timing import (
     ELECTION_MARGIN_SECONDS,
-    LEASE_PROMISED_SECONDS,
-    RETRY_LIMIT_SECONDS,
-    RETRY_SECONDS,
-    SUCCESSION_STEP_SECONDS,
-    UNHEARD_SECONDS,
+    MEMBER_LEASE_SECONDS,
+    ELECTION_BACKOFF_LIMIT_SECONDS,
+    ELECTION_BACKOFF_SECONDS,
+    SUCCESSOR_DELAY_SECONDS,
+    VIEW_QUERY_AFTER_SECONDS,
 )
 from pipitledge.replication.witness import GRANTED_LEAVING, Witness
 from pipitledge.wire.messages import Promise, View
 
-LEAST_WAIT_SECONDS = 0.001  # a timer may fire a rounding error early
-POLL_SECONDS = 0.5  # between two looks of a node that may not lead
+MIN_TIMER_SECONDS = 0.001  # a timer may fire a rounding error early
+INELIGIBLE_POLL_SECONDS = 0.5  # between two looks of a node that may not lead
 
 
 class Election:
@@ -32,17 +32,17 @@
         env: Environment,
         witness: Witness,
         latest: Callable[[], View | None],
-        inquiry: ViewInquiry,
+        inquiry: ViewDiscovery,
         propose: Callable[[], None],
     ) -> None:
         """`latest` gives the view of the highest epoch known, decided or not."""
         self._env = env
         self._witness = witness
         self._latest = latest
-        self._inquiry = inquiry
+        self._view_discovery = inquiry
         self._propose = propose
-        self._heard_at = env.clock.now()
-        self._lease_seconds = LEASE_PROMISED_SECONDS
+        self._last_contact_at = env.clock.now()
+        self._lease_seconds = MEMBER_LEASE_SECONDS
         self._not_before = 0.0
         self._failures = 0
         self.retired = False
@@ -53,13 +53,13 @@
 
     def heard(self) -> None:
         """The primary is alive."""
-        self._heard_at = self._env.clock.now()
-        self._lease_seconds = LEASE_PROMISED_SECONDS
+        self._last_contact_at = self._env.clock.now()
+        self._lease_seconds = MEMBER_LEASE_SECONDS
         self._failures = 0
 
     def released(self) -> None:
         """The primary gave its lease back: the first successor may go at once."""
-        self._heard_at = self._env.clock.now()
+        self._last_contact_at = self._env.clock.now()
         self._lease_seconds = 0.0
         self._tick_once()
 
@@ -70,43 +70,43 @@
     def failed(self) -> None:
         """A proposal of this node was not decided."""
         self._failures += 1
-        longest = min(RETRY_SECONDS * 2**self._failures, RETRY_LIMIT_SECONDS)
-        self.hold_off(self._env.random.uniform(RETRY_SECONDS, longest))
+        longest = min(ELECTION_BACKOFF_SECONDS * 2**self._failures, ELECTION_BACKOFF_LIMIT_SECONDS)
+        self.hold_off(self._env.random.uniform(ELECTION_BACKOFF_SECONDS, longest))
 
     def eligible(self) -> bool:
         """Whether this node may lead, so far as it knows, or by a later view that another member told of."""
         if self.retired or self._witness.amnesiac:
             return False
-        views = (self._latest(), self._inquiry.heard)
-        return any(holds_state(view, self._env.name, self._env.me.disk_id) for view in views)
+        views = (self._latest(), self._view_discovery.heard)
+        return any(is_in_sync(view, self._env.name, self._env.me.disk_id) for view in views)
 
     def _tick(self) -> None:
         self._tick_once()
         now = self._env.clock.now()
-        due = self._due()
-        wait = min(due - now, POLL_SECONDS) if due > now else RETRY_SECONDS
-        self._env.clock.at(now + max(wait, LEAST_WAIT_SECONDS), self._tick)
+        due = self._election_due_at()
+        wait = min(due - now, INELIGIBLE_POLL_SECONDS) if due > now else ELECTION_BACKOFF_SECONDS
+        self._env.clock.at(now + max(wait, MIN_TIMER_SECONDS), self._tick)
 
     def _tick_once(self) -> None:
         now = self._env.clock.now()
         if not self.eligible():
-            if now - self._heard_at > UNHEARD_SECONDS and not self._witness.amnesiac:
-                self._inquiry.ask()
-        elif now >= self._due():
+            if now - self._last_contact_at > VIEW_QUERY_AFTER_SECONDS and not self._witness.amnesiac:
+                self._view_discovery.ask()
+        elif now >= self._election_due_at():
             self._propose()
 
-    def _due(self) -> float:
+    def _election_due_at(self) -> float:
         """When this node proposes itself, if nothing is heard."""
-        return max(self._heard_at + self._wait(), self._not_before)
+        return max(self._last_contact_at + self._wait(), self._not_before)
 
     def _wait(self) -> float:
         view = self._latest()
         if view is None or view.primary == self._env.name:
             return 0.0
         margin = ELECTION_MARGIN_SECONDS if self._lease_seconds else 0.0
-        return self._lease_seconds + margin + self._rank(view) * SUCCESSION_STEP_SECONDS
+        return self._lease_seconds + margin + self._succession_rank(view) * SUCCESSOR_DELAY_SECONDS
 
-    def _rank(self, view: View) -> int:
+    def _succession_rank(self, view: View) -> int:
         successors = [
             member.name for member in view.members if member.name in view.in_sync and member.name != view.primary
         ]
@@ -118,16 +118,16 @@
 
     The in-sync set comes out of that of `base`. Those that did not answer are left out, if enough remain.
     """
-    if base is None or not holds_state(base, env.name, env.me.disk_id):
+    if base is None or not is_in_sync(base, env.name, env.me.disk_id):
         return None
-    present = {env.name} | {name for name, promise in promises.items() if _stays(base, name, promise)}
+    present = {env.name} | {name for name, promise in promises.items() if _remains_in_sync(base, name, promise)}
     members = [env.me if member.name == env.name else member for member in base.members]
-    names = present if env.tolerance.suffices(present, members) else set(base.in_sync)
+    names = present if env.tolerance.satisfied_by(present, members) else set(base.in_sync)
     in_sync = [member.name for member in members if member.name in names]
     return replace(base, epoch=epoch, term=epoch, primary=env.name, members=members, in_sync=in_sync)
 
 
-def _stays(base: View, name: str, promise: Promise) -> bool:
+def _remains_in_sync(base: View, name: str, promise: Promise) -> bool:
     member = member_of(base, name)
     if member is None or name not in base.in_sync:
         return False
--- a/pipitledge/replication/epochs.py
+++ b/pipitledge/replication/epochs.py
@@ -8,25 +8,25 @@
 
 import zlib
 
-PROPOSERS = 1024
+EPOCHS_PER_ROUND = 1024
 FIRST_ORDINARY_ROUND = 1024
-FIRST_ORDINARY_EPOCH = FIRST_ORDINARY_ROUND * PROPOSERS
+FIRST_ORDINARY_EPOCH = FIRST_ORDINARY_ROUND * EPOCHS_PER_ROUND
 
 
 def _epoch(round_number: int, proposer: str) -> int:
-    return round_number * PROPOSERS + zlib.crc32(proposer.encode()) % PROPOSERS
+    return round_number * EPOCHS_PER_ROUND + zlib.crc32(proposer.encode()) % EPOCHS_PER_ROUND
 
 
-def next_founding_epoch(highest: int, proposer: str) -> int:
+def next_bootstrap_epoch(highest: int, proposer: str) -> int:
     """An epoch above `highest` for a view that founds the system."""
-    return _epoch(highest // PROPOSERS + 1, proposer)
+    return _epoch(highest // EPOCHS_PER_ROUND + 1, proposer)
 
 
 def next_epoch(highest: int, proposer: str) -> int:
     """An epoch above `highest` for any later view."""
-    return _epoch(max(highest // PROPOSERS + 1, FIRST_ORDINARY_ROUND), proposer)
+    return _epoch(max(highest // EPOCHS_PER_ROUND + 1, FIRST_ORDINARY_ROUND), proposer)
 
 
-def is_founding(epoch: int) -> bool:
+def is_bootstrap_epoch(epoch: int) -> bool:
     """Whether a view of that epoch founds the system."""
     return 0 < epoch < FIRST_ORDINARY_EPOCH
--- a/pipitledge/replication/forced_recovery.py
+++ b/pipitledge/replication/forced_recovery.py
@@ -15,11 +15,11 @@
 
 from msgspec import Struct
 
-from pipitledge.replication.epochs import PROPOSERS, next_epoch
-from pipitledge.replication.quorum import has_quorum, holds_state, meets_every_quorum, voters
+from pipitledge.replication.epochs import EPOCHS_PER_ROUND, next_epoch
+from pipitledge.replication.quorum import has_quorum, is_in_sync, intersects_every_quorum, voters
 from pipitledge.wire.messages import Member, RecoveryState, View
 
-FORCED_ROUNDS = 1 << 20
+FORCED_EPOCH_MARGIN_ROUNDS = 1 << 20
 """How far a forced epoch lies above all that is known: lost members may have promised higher ones."""
 
 
@@ -48,23 +48,23 @@
     """The view that makes `members` (names) the group again, given who answered and who is said to be `lost`."""
     by_name = {state.name: state for state in states}
     reason = (
-        _primary_there(states)
-        or _unknown(by_name, members)
-        or _unaccounted(states, by_name, lost)
-        or _ends_by_itself(states)
+        _active_primary(states)
+        or _unavailable_members(by_name, members)
+        or _unaccounted_voters(states, by_name, lost)
+        or _quorum_still_possible(states)
     )
     if reason:
         return RecoveryRefusal(reason)
     latest = latest_view(states)
-    primary = max((by_name[name] for name in members), key=lambda state: _holdings(state, latest))
+    primary = max((by_name[name] for name in members), key=lambda state: _state_rank(state, latest))
     highest = max([state.promised for state in states] + [latest.epoch if latest is not None else 0])
-    epoch = next_epoch(highest + FORCED_ROUNDS * PROPOSERS, primary.name)
+    epoch = next_epoch(highest + FORCED_EPOCH_MARGIN_ROUNDS * EPOCHS_PER_ROUND, primary.name)
     named = [_member(by_name[name]) for name in sorted(members)]
     view = View(epoch=epoch, term=epoch, primary=primary.name, in_sync=[primary.name], members=named)
-    return RecoveryPlan(view, _loss(primary, states, latest, lost))
+    return RecoveryPlan(view, _describe_loss(primary, states, latest, lost))
 
 
-def _primary_there(states: Sequence[RecoveryState]) -> str:
+def _active_primary(states: Sequence[RecoveryState]) -> str:
     for state in states:
         if state.leads:
             return f"{state.name} leads"
@@ -73,14 +73,14 @@
     return ""
 
 
-def _unknown(by_name: dict[str, RecoveryState], members: Sequence[str]) -> str:
+def _unavailable_members(by_name: dict[str, RecoveryState], members: Sequence[str]) -> str:
     if not members:
         return "no new member is named"
     silent = sorted(set(members) - by_name.keys())
     return f"{', '.join(silent)} did not answer, so can't be a member" if silent else ""
 
 
-def _unaccounted(states: Sequence[RecoveryState], by_name: dict[str, RecoveryState], lost: Collection[str]) -> str:
+def _unaccounted_voters(states: Sequence[RecoveryState], by_name: dict[str, RecoveryState], lost: Collection[str]) -> str:
     """Members that may still be somewhere, and lead or vote there."""
     alive = sorted(set(lost) & by_name.keys())
     if alive:
@@ -91,31 +91,31 @@
     return f"{', '.join(missing)} did not answer, and is not said to be lost" if missing else ""
 
 
-def _ends_by_itself(states: Sequence[RecoveryState]) -> str:
+def _quorum_still_possible(states: Sequence[RecoveryState]) -> str:
     latest = latest_view(states)
     if latest is None:
         return ""
     kept = {state.name for state in states if not state.amnesiac}
-    voting = {state.name for state in states} if meets_every_quorum(latest, kept) else kept
-    may_lead = any(holds_state(latest, state.name, state.disk_id) for state in states)
+    voting = {state.name for state in states} if intersects_every_quorum(latest, kept) else kept
+    may_lead = any(is_in_sync(latest, state.name, state.disk_id) for state in states)
     if has_quorum(latest, voting) and may_lead:
         return "a quorum can still be had: wait until it has elected a primary"
     return ""
 
 
-def _holdings(state: RecoveryState, latest: View | None) -> tuple[bool, int, int]:
-    return holds_state(latest, state.name, state.disk_id), state.term, state.sequence
+def _state_rank(state: RecoveryState, latest: View | None) -> tuple[bool, int, int]:
+    return is_in_sync(latest, state.name, state.disk_id), state.term, state.sequence
 
 
 def _member(state: RecoveryState) -> Member:
     return Member(state.name, state.address, state.zone, state.region, state.disk_id)
 
 
-def _loss(primary: RecoveryState, states: Sequence[RecoveryState], latest: View | None, lost: Collection[str]) -> str:
+def _describe_loss(primary: RecoveryState, states: Sequence[RecoveryState], latest: View | None, lost: Collection[str]) -> str:
     if latest is None:
         return "all that was ever acknowledged: no node that answered knows of any view"
     held = f"{primary.name} holds entries up to {primary.sequence} of term {primary.term}"
-    if holds_state(latest, primary.name, primary.disk_id):
+    if is_in_sync(latest, primary.name, primary.disk_id):
         unless = f", unless {', '.join(sorted(lost))} went on in a later view" if lost else ""
         return f"{held}, and all that was acknowledged in the view of epoch {latest.epoch}{unless}"
     more = [state.name for state in states if (state.term, state.sequence) > (primary.term, primary.sequence)]
--- a/pipitledge/replication/initial_members.py
+++ b/pipitledge/replication/initial_members.py
@@ -19,9 +19,9 @@
 from msgspec import Struct
 
 from pipitledge.replication.environment import Environment, MembershipSource
-from pipitledge.replication.epochs import PROPOSERS
+from pipitledge.replication.epochs import EPOCHS_PER_ROUND
 from pipitledge.replication.records import InitialMembersRecord
-from pipitledge.replication.timing import PROPOSAL_SECONDS
+from pipitledge.replication.timing import PROPOSAL_TIMEOUT_SECONDS
 from pipitledge.runtime.handlers import Handlers
 from pipitledge.runtime.ports import Timer
 from pipitledge.wire.messages import (
@@ -54,7 +54,7 @@
 
     def on_prepare(self, message: InitialPrepare, reply: Callable[[InitialPromise], None]) -> None:
         """Promise to take no lower ballot, and this one from nobody else."""
-        if not self._admits(message.ballot, message.proposer):
+        if not self._accepts_ballot(message.ballot, message.proposer):
             reply(InitialPromise(False, self._address, self._record.promised))
             return
         self._promise(message.ballot, message.proposer)
@@ -64,7 +64,7 @@
 
     def on_propose(self, message: InitialPropose, reply: Callable[[InitialAccepted], None]) -> None:
         """Accept a list, unless a higher ballot is promised."""
-        if not self._admits(message.ballot, message.proposer):
+        if not self._accepts_ballot(message.ballot, message.proposer):
             reply(InitialAccepted(False, self._address, self._record.promised))
             return
         self._promise(message.ballot, message.proposer)
@@ -73,7 +73,7 @@
         answer = InitialAccepted(True, self._address, message.ballot)
         self._persist(lambda: reply(answer))
 
-    def _admits(self, ballot: int, proposer: str) -> bool:
+    def _accepts_ballot(self, ballot: int, proposer: str) -> bool:
         record = self._record
         if not record.takes_part:
             return False
@@ -120,14 +120,14 @@
 
     def run(self) -> None:
         """Send the first phase."""
-        self._timer = self._env.clock.at(self._env.clock.now() + PROPOSAL_SECONDS, partial(self._finish, []))
+        self._timer = self._env.clock.at(self._env.clock.now() + PROPOSAL_TIMEOUT_SECONDS, partial(self._finish, []))
         request = InitialPrepare(self._ballot, self._env.name)
         for seed in self._seeds:
             self._ask(seed, request, partial(self._on_promise, seed))
 
     def _ask(self, seed: str, request: Struct, on_reply: Callable[[Struct | None], None]) -> None:
         if seed != self._env.me.address:
-            self._env.network.call(seed, request, PROPOSAL_SECONDS, on_reply)
+            self._env.network.call(seed, request, PROPOSAL_TIMEOUT_SECONDS, on_reply)
         elif isinstance(request, InitialPrepare):
             self._acceptor.on_prepare(request, on_reply)
         elif isinstance(request, InitialPropose):
@@ -191,7 +191,7 @@
 
 def next_ballot(highest: int, proposer: str) -> int:
     """A ballot above `highest`; two proposers seldom choose the same, and a seed promises it to one only."""
-    return (highest // PROPOSERS + 1) * PROPOSERS + zlib.crc32(proposer.encode()) % PROPOSERS
+    return (highest // EPOCHS_PER_ROUND + 1) * EPOCHS_PER_ROUND + zlib.crc32(proposer.encode()) % EPOCHS_PER_ROUND
 
 
 def as_member(node: NodeDescriptor) -> Member:
--- a/pipitledge/replication/lease.py
+++ b/pipitledge/replication/lease.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from pipitledge.replication.quorum import quorum_since
-from pipitledge.replication.timing import LEASE_HELD_SECONDS
+from pipitledge.replication.quorum import latest_quorum_time
+from pipitledge.replication.timing import PRIMARY_LEASE_SECONDS
 from pipitledge.wire.messages import View
 
 
@@ -37,4 +37,4 @@
         return self._until
 
     def _count(self) -> None:
-        self._until = quorum_since(self._view, self._answered, never=-LEASE_HELD_SECONDS) + LEASE_HELD_SECONDS
+        self._until = latest_quorum_time(self._view, self._answered, never=-PRIMARY_LEASE_SECONDS) + PRIMARY_LEASE_SECONDS
--- a/pipitledge/replication/primary.py
+++ b/pipitledge/replication/primary.py
@@ -13,21 +13,21 @@
 from pipitledge.replication.epochs import next_epoch
 from pipitledge.replication.interface import PrimaryService
 from pipitledge.replication.lease import Lease
-from pipitledge.replication.proposal import Outcome, Proposal
-from pipitledge.replication.quorum import holds_state, member_of, voters
-from pipitledge.replication.store import Store
+from pipitledge.replication.proposal import ProposalOutcome, Proposal
+from pipitledge.replication.quorum import is_in_sync, member_of, voters
+from pipitledge.replication.store import StateStore
 from pipitledge.replication.stream import BackupStream
-from pipitledge.replication.target_view import Situation, target_view, wants_learners
+from pipitledge.replication.target_view import ViewInputs, target_view, wants_learners
 from pipitledge.replication.timing import (
     DISK_STALL_SECONDS,
-    HEARTBEAT_SECONDS,
-    JOINING_LAG,
-    LEASE_LOST_SECONDS,
-    RECONCILE_RETRY_SECONDS,
+    HEARTBEAT_INTERVAL_SECONDS,
+    MAX_JOINING_LAG_ENTRIES,
+    LEASE_LOST_TIMEOUT_SECONDS,
+    VIEW_CHANGE_RETRY_SECONDS,
     RELEASE_WAIT_SECONDS,
-    REPAIR_BYTES,
-    VIEW_IN_EVERY_HEARTBEAT,
-    VIEW_IN_FIRST_HEARTBEATS,
+    MAX_REPAIR_BYTES,
+    HEARTBEATS_PER_VIEW,
+    HEARTBEATS_WITH_NEW_VIEW,
 )
 from pipitledge.replication.witness import Witness
 from pipitledge.runtime.ports import Timer
@@ -49,14 +49,14 @@
 RELEASE_REPEAT_SECONDS = 0.03
 
 
-class _Waiting(Struct):
+class _CommitCallback(Struct):
     """A call that is due once an entry is committed."""
 
     sequence: int
     action: Callable[[], None]
 
 
-class PrimaryOwner(Struct):
+class PrimaryCallbacks(Struct):
     """Whom the primary tells."""
 
     on_decided: Callable[[View], None]  # its own change of view is decided
@@ -70,10 +70,10 @@
         self,
         env: Environment,
         witness: Witness,
-        store: Store,
+        store: StateStore,
         view: View,
         services: list[PrimaryService],
-        owner: PrimaryOwner,
+        owner: PrimaryCallbacks,
     ) -> None:
         """`view` is decided, and this node leads it."""
         self._env = env
@@ -84,24 +84,24 @@
         self._owner = owner
         self._lease = Lease(view)
         self._started_at = env.clock.now()
-        self._lease_lost_at = self._started_at
+        self._lease_last_held_at = self._started_at
         self._streams: dict[str, BackupStream] = {}
         self._proposed: list[View] = []  # changes of view whose outcome is not known
-        self._large_enough = False  # whether the in-sync set bears the faults to be tolerated
-        self._relied_on: list[Member] = []
+        self._in_sync_suffices = False  # whether the in-sync set bears the faults to be tolerated
+        self._commit_members: list[Member] = []
         self._joining: set[str] = set()  # backups that commits wait for already, so that they can be added
         self._own_durable = 0
         self._committed = 0
         self._first_sequence = 0
-        self._waiting: deque[_Waiting] = deque()
+        self._waiting: deque[_CommitCallback] = deque()
         self._running_callbacks = False
         self._active = True
         self._started = False
         self._releasing_until: float | None = None
         self._proposing = False
-        self._deposed = False
+        self._superseded = False
         self._next_change_at = 0.0
-        self._higher_epoch = 0
+        self._highest_seen_epoch = 0
         self._ticked_at = self._started_at
         self._timer: Timer | None = None
 
@@ -122,13 +122,13 @@
         """Whether the services run."""
         return self._started
 
-    def acts(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether it has started its duties and holds its lease now."""
         return self._started and self._releasing_until is None and self._lease.held(self._env.clock.now())
 
     def start(self) -> None:
         """Write the first entry of the term, and let the others know."""
-        self._count_on()
+        self._update_commit_members()
         self._first_sequence = self._store.position.sequence + 1
         self._committed = self._store.position.sequence
         self._append([])
@@ -140,15 +140,15 @@
             return
         self._append(writes)
         if on_committed is not None:
-            self._waiting.append(_Waiting(self._store.position.sequence, on_committed))
+            self._waiting.append(_CommitCallback(self._store.position.sequence, on_committed))
         self._advance()
 
     def after_commit(self, action: Callable[[], None]) -> None:
         """Run `action` once all that was written so far is committed."""
         if not self._active or not self._started:
             return
-        self._waiting.append(_Waiting(self._store.position.sequence, action))
-        self._act()
+        self._waiting.append(_CommitCallback(self._store.position.sequence, action))
+        self._run_committed()
 
     def end(self) -> None:
         """Stop acting, for good."""
@@ -175,9 +175,9 @@
             return
         finished = self._committed >= self._store.position.sequence
         if finished or self._env.clock.now() >= self._releasing_until:
-            self._give_lease_back("released")
+            self._release_lease("released")
 
-    def _give_lease_back(self, reason: str) -> None:
+    def _release_lease(self, reason: str) -> None:
         names = [name for name in self._streams if member_of(self._view, name) is not None]
         for repeat in range(RELEASE_REPEATS):
             when = self._env.clock.now() + repeat * RELEASE_REPEAT_SECONDS
@@ -197,17 +197,17 @@
         entry = Entry(term=self._view.term, sequence=self._store.position.sequence + 1, writes=writes)
         self._store.append([entry])
         self._store.when_durable(lambda: self._on_own_durable(entry.sequence))
-        self._pump()
+        self._send_to_backups()
 
     def _on_own_durable(self, sequence: int) -> None:
         self._own_durable = max(self._own_durable, sequence)
         self._advance()
 
-    def _pump(self) -> None:
+    def _send_to_backups(self) -> None:
         for stream in self._streams.values():
-            stream.pump()
+            stream.send_next()
 
-    def backup_advanced(self) -> None:
+    def on_backup_advanced(self) -> None:
         """A backup holds more, or holds it on another disk."""
         self._advance()
         if self._active and self._joining:
@@ -217,37 +217,37 @@
         """Commit what every node of the set has on its disk."""
         if not self._active:
             return
-        self._committed = max(self._committed, self._held_by_all())
-        self._act()
+        self._committed = max(self._committed, self._durable_on_all())
+        self._run_committed()
         self._check_release()
 
-    def _act(self) -> None:
+    def _run_committed(self) -> None:
         """Do what was waiting for entries to be committed, while no other node can be primary."""
         if self._active and self._lease.held(self._env.clock.now()):
             self._start_services()
-            self._run_waiting()
+            self._run_commit_callbacks()
 
-    def _held_by_all(self) -> int:
+    def _durable_on_all(self) -> int:
         """The last sequence that is on the disks of all that the view, or one that may replace it, relies on."""
-        if not self._large_enough:
+        if not self._in_sync_suffices:
             return 0
         held = self._own_durable
-        for member in self._relied_on:
-            held = min(held, self._held_by(member))
+        for member in self._commit_members:
+            held = min(held, self._durable_on(member))
         for name in self._joining:
             held = min(held, self._streams[name].durable)
         return held
 
-    def _held_by(self, member: Member) -> int:
+    def _durable_on(self, member: Member) -> int:
         stream = self._streams.get(member.name)
         if stream is None or not stream.confirmed or stream.disk_id != member.disk_id:
             return 0
         return stream.durable
 
-    def _count_on(self) -> None:
+    def _update_commit_members(self) -> None:
         """Work out whose disks commits wait for, after the view or the changes proposed are others."""
-        self._large_enough = self._env.tolerance.suffices(self._view.in_sync, self._view.members)
-        self._relied_on = [
+        self._in_sync_suffices = self._env.tolerance.satisfied_by(self._view.in_sync, self._view.members)
+        self._commit_members = [
             member
             for view in [self._view, *self._proposed]
             for member in view.members
@@ -263,7 +263,7 @@
         for service in self._services:
             service.activated(self._view.term, state)
 
-    def _run_waiting(self) -> None:
+    def _run_commit_callbacks(self) -> None:
         if self._running_callbacks:
             return
         self._running_callbacks = True
@@ -279,9 +279,9 @@
         if not self._active:
             return
         now = self._env.clock.now()
-        self._timer = self._env.clock.at(now + HEARTBEAT_SECONDS, self._tick)
-        if now - self._ticked_at > 2 * HEARTBEAT_SECONDS:
-            self._excuse_all()
+        self._timer = self._env.clock.at(now + HEARTBEAT_INTERVAL_SECONDS, self._tick)
+        if now - self._ticked_at > 2 * HEARTBEAT_INTERVAL_SECONDS:
+            self._reset_stream_timeouts()
         self._ticked_at = now
         self._update_streams()
         self._send_heartbeats(now)
@@ -290,9 +290,9 @@
             self._reconcile()
             self._advance()  # a node that was waited for may have left
 
-    def _excuse_all(self) -> None:
+    def _reset_stream_timeouts(self) -> None:
         for stream in self._streams.values():
-            stream.excuse()
+            stream.reset_timeouts()
 
     def _update_streams(self) -> None:
         """One stream for each member, and for each counted node that is not one."""
@@ -317,24 +317,24 @@
         )
 
     def _send_heartbeats(self, now: float) -> None:
-        if self._witness.obeys(self._view.epoch, self._view.term, self._env.name):
+        if self._witness.accepts_primary(self._view.epoch, self._view.term, self._env.name):
             self._witness.grant_lease(self._env.name)
             self._lease.answered(self._env.name, now)
-            self._act()
+            self._run_committed()
         else:
-            self.saw_epoch(self._witness.promised)
+            self.on_higher_epoch(self._witness.promised)
         for stream in self._streams.values():
             message = self._heartbeat()
-            if self._tells_view(stream):
+            if self._heartbeat_carries_view(stream):
                 message.view = self._view
             self._env.network.datagram(self._env.address_of(stream.name, self._view), message)
-            stream.pump()
+            stream.send_next()
             stream.check()
 
-    def _tells_view(self, stream: BackupStream) -> bool:
+    def _heartbeat_carries_view(self, stream: BackupStream) -> bool:
         count = stream.heartbeats_since_view
         stream.heartbeats_since_view = count + 1
-        return count < VIEW_IN_FIRST_HEARTBEATS or count % VIEW_IN_EVERY_HEARTBEAT == 0
+        return count < HEARTBEATS_WITH_NEW_VIEW or count % HEARTBEATS_PER_VIEW == 0
 
     def on_heartbeat_reply(self, message: HeartbeatReply) -> None:
         """A member granted the lease, or told of a higher epoch."""
@@ -342,45 +342,45 @@
         if stream is None or not self._active:
             return
         if message.epoch > self._view.epoch:
-            self.saw_epoch(message.epoch)
-        elif not message.amnesiac and self._sent_in_office(message):
+            self.on_higher_epoch(message.epoch)
+        elif not message.amnesiac and self._sent_in_this_term(message):
             self._lease.answered(message.name, message.sent_at)
-            self._act()
+            self._run_committed()
         stream.on_heartbeat_reply(message)
 
-    def _sent_in_office(self, reply: HeartbeatReply) -> bool:
+    def _sent_in_this_term(self, reply: HeartbeatReply) -> bool:
         """Whether the heartbeat answered is one of this term, and not of an earlier life, maybe on another clock."""
         return reply.epoch >= self._view.term and self._started_at <= reply.sent_at <= self._env.clock.now()
 
-    def saw_epoch(self, epoch: int) -> None:
+    def on_higher_epoch(self, epoch: int) -> None:
         """A node promised a higher epoch: unless another primary shows up, this one renews its view above it."""
-        if epoch > self._higher_epoch:
-            self._higher_epoch = epoch
-            self._hold_changes()
+        if epoch > self._highest_seen_epoch:
+            self._highest_seen_epoch = epoch
+            self._delay_view_change()
 
-    def _hold_changes(self) -> None:
-        delay = RECONCILE_RETRY_SECONDS * (1 + self._env.random.random())
+    def _delay_view_change(self) -> None:
+        delay = VIEW_CHANGE_RETRY_SECONDS * (1 + self._env.random.random())
         self._next_change_at = max(self._next_change_at, self._env.clock.now() + delay)
 
     def _check_health(self, now: float) -> None:
         if self._lease.held(now):
-            self._lease_lost_at = now
-        elif now - self._lease_lost_at > LEASE_LOST_SECONDS:
+            self._lease_last_held_at = now
+        elif now - self._lease_last_held_at > LEASE_LOST_TIMEOUT_SECONDS:
             self._owner.on_ended("lease lost")
-        if self._active and self._store.stalled_for() > DISK_STALL_SECONDS and self._has_heir():
-            self._give_lease_back("disk stalled")
+        if self._active and self._store.stalled_for() > DISK_STALL_SECONDS and self._has_successor():
+            self._release_lease("disk stalled")
 
-    def _has_heir(self) -> bool:
+    def _has_successor(self) -> bool:
         """Whether another node could lead."""
         return any(
-            stream.responsive() and not stream.amnesiac and holds_state(self._view, stream.name, stream.disk_id)
+            stream.responsive() and not stream.amnesiac and is_in_sync(self._view, stream.name, stream.disk_id)
             for stream in self._streams.values()
         )
 
     # ---- changes of view
 
-    def _situation(self) -> Situation:
-        return Situation(
+    def _view_inputs(self) -> ViewInputs:
+        return ViewInputs(
             me=self._env.me,
             tolerance=self._env.tolerance,
             backups=self._streams,
@@ -393,24 +393,24 @@
         self._update_joining(now)
         if self._proposing or now < self._next_change_at or self._releasing_until is not None:
             return
-        renew = self._higher_epoch > self._view.epoch
-        if renew or (self._lease.held(now) and target_view(self._situation(), self._view, True) != self._view):
+        renew = self._highest_seen_epoch > self._view.epoch
+        if renew or (self._lease.held(now) and target_view(self._view_inputs(), self._view, True) != self._view):
             self._propose()
 
     def _update_joining(self, now: float) -> None:
-        situation = self._situation()
-        learners = wants_learners(situation, self._view)
+        inputs = self._view_inputs()
+        learners = wants_learners(inputs, self._view)
         for name, stream in self._streams.items():
-            inside = holds_state(self._view, name, stream.disk_id)
+            inside = is_in_sync(self._view, name, stream.disk_id)
             wanted = learners or member_of(self._view, name) is not None
-            if wanted and not inside and self._lease.held(now) and stream.near(JOINING_LAG):
+            if wanted and not inside and self._lease.held(now) and stream.nearly_caught_up(MAX_JOINING_LAG_ENTRIES):
                 self._joining.add(name)
             else:
                 self._joining.discard(name)
 
     def _propose(self) -> None:
         self._proposing = True
-        highest = max(self._view.epoch, self._witness.promised, self._higher_epoch)
+        highest = max(self._view.epoch, self._witness.promised, self._highest_seen_epoch)
         epoch = next_epoch(highest, self._env.name)
         derive = partial(self._derive, epoch)
         Proposal(self._env, self._witness, epoch, self._view, derive, self._on_outcome).run()
@@ -419,36 +419,36 @@
         if not self._active:
             return None
         if base is None or base.primary != self._env.name or base.term != self._view.term:
-            self._deposed = True
+            self._superseded = True
             return None
-        target = target_view(self._situation(), base, base.epoch == self._view.epoch)
+        target = target_view(self._view_inputs(), base, base.epoch == self._view.epoch)
         view = replace(target, epoch=epoch)
         self._proposed.append(view)
-        self._count_on()
+        self._update_commit_members()
         self._update_streams()
         return view
 
-    def _on_outcome(self, outcome: Outcome) -> None:
+    def _on_outcome(self, outcome: ProposalOutcome) -> None:
         self._proposing = False
         if not self._active:
             return
         if outcome.decided is not None:
-            self._adopt(outcome.decided)
+            self._apply_view(outcome.decided)
             return
         self._env.log.info("view_not_changed", epoch=self._view.epoch, reason=outcome.reason)
-        self._hold_changes()
-        self._higher_epoch = max(self._higher_epoch, outcome.highest_epoch if outcome.latest is not None else 0)
-        if self._deposed:
+        self._delay_view_change()
+        self._highest_seen_epoch = max(self._highest_seen_epoch, outcome.highest_epoch if outcome.latest is not None else 0)
+        if self._superseded:
             self._owner.on_ended("another primary may have been elected")
 
-    def _adopt(self, view: View) -> None:
+    def _apply_view(self, view: View) -> None:
         """The change is decided."""
         for name in set(self._view.in_sync) - set(view.in_sync):
             if name in self._streams:
                 self._streams[name].left()
         self._view = view
         self._proposed.clear()
-        self._count_on()
+        self._update_commit_members()
         self._lease.change_view(view)
         self._update_streams()
         for stream in self._streams.values():
@@ -467,7 +467,7 @@
         differing = self._store.map.differing(message.digests)
         size = 0
         for index in differing:
-            if contents and size >= REPAIR_BYTES:
+            if contents and size >= MAX_REPAIR_BYTES:
                 break
             content = self._store.map.content_of(index)
             contents.append(content)
--- a/pipitledge/replication/proposal.py
+++ b/pipitledge/replication/proposal.py
@@ -9,15 +9,15 @@
 
 from pipitledge.replication.environment import Environment
 from pipitledge.replication.quorum import has_quorum, voters
-from pipitledge.replication.timing import PROMISE_GRACE_SECONDS, PROPOSAL_SECONDS
+from pipitledge.replication.timing import PROMISE_GRACE_SECONDS, PROPOSAL_TIMEOUT_SECONDS
 from pipitledge.replication.witness import GRANTED_TO_CONTINUE, Witness
 from pipitledge.runtime.ports import Timer
 from pipitledge.wire.messages import Accepted, Prepare, Promise, Propose, View
 
-Derive = Callable[[View | None, dict[str, Promise]], View | None]
+DeriveView = Callable[[View | None, dict[str, Promise]], View | None]
 
 
-class Outcome(Struct):
+class ProposalOutcome(Struct):
     """How an attempt ended."""
 
     decided: View | None = None
@@ -40,8 +40,8 @@
         witness: Witness,
         epoch: int,
         start: View,
-        derive: Derive,
-        on_done: Callable[[Outcome], None],
+        derive: DeriveView,
+        on_done: Callable[[ProposalOutcome], None],
         grace: float = PROMISE_GRACE_SECONDS,
     ) -> None:
         """`start` names whom to ask at first; `derive` makes the new view, or None to give up."""
@@ -52,7 +52,7 @@
         self._derive = derive
         self._on_done = on_done
         self._grace = grace
-        self._deadline = env.clock.now() + PROPOSAL_SECONDS
+        self._deadline = env.clock.now() + PROPOSAL_TIMEOUT_SECONDS
         self._asked: set[str] = set()
         self._answered: set[str] = set()
         self._promises: dict[str, Promise] = {}
@@ -62,19 +62,19 @@
         self._waiting = False
         self._own_promise_asked = False
         self._ended = False
-        self._outcome = Outcome()
+        self._outcome = ProposalOutcome()
         self._timers: list[Timer] = []
 
     def run(self) -> None:
         """Send the first phase."""
         self._timers.append(self._env.clock.at(self._deadline, self._expire))
         self._ask(self._start)
-        self._consider()
+        self._advance_first_phase()
 
     def _expire(self) -> None:
         self._finish("timeout")
 
-    def _over(self) -> bool:
+    def _has_ended(self) -> bool:
         """Whether it has ended; replies that come after the deadline end it."""
         if not self._ended and self._env.clock.now() >= self._deadline:
             self._expire()
@@ -101,17 +101,17 @@
                 continue
             address = self._env.address_of(member.name, view)
             request = Prepare(epoch=self._epoch, proposer=self._env.name)
-            self._env.network.call(address, request, PROPOSAL_SECONDS, partial(self._on_promise, member.name))
+            self._env.network.call(address, request, PROPOSAL_TIMEOUT_SECONDS, partial(self._on_promise, member.name))
 
     def _on_promise(self, name: str, message: Struct | None) -> None:
-        if self._over():
+        if self._has_ended():
             return
         self._answered.add(name)
         if isinstance(message, Promise) and message.name == name:
             self._note(message)
             if message.granted:
                 self._promises[name] = message
-        self._consider()
+        self._advance_first_phase()
 
     def _note(self, promise: Promise) -> None:
         self._outcome.highest_epoch = max(self._outcome.highest_epoch, promise.epoch)
@@ -124,19 +124,19 @@
         told = [promise.accepted for promise in self._promises.values()] + [self._witness.accepted]
         return max((view for view in told if view is not None), key=lambda view: view.epoch, default=None)
 
-    def _useful(self, base: View | None) -> set[str]:
+    def _usable_promises(self, base: View | None) -> set[str]:
         """Promises that count, given the view to go on from."""
         continues = base is not None and base.primary == self._env.name
         return {name for name, promise in self._promises.items() if continues or promise.reason != GRANTED_TO_CONTINUE}
 
-    def _consider(self) -> None:
+    def _advance_first_phase(self) -> None:
         """Go on once enough have promised; this node itself promises last, so that it does not bar a lease in vain."""
         if self._ended or self._view is not None:
             return
         base = self._base()
         scope = base or self._start
         self._ask(scope)
-        names = self._useful(base)
+        names = self._usable_promises(base)
         if not has_quorum(scope, names | {self._env.name}):
             if self._all_answered():
                 self._finish("no quorum")
@@ -145,7 +145,7 @@
             self._wait()
             return
         if self._env.name not in self._promises:
-            self._promise_myself()
+            self._request_own_promise()
             return
         if has_quorum(scope, names):
             self._propose(base)
@@ -162,9 +162,9 @@
 
     def _end_grace(self) -> None:
         self._grace_over = True
-        self._consider()
+        self._advance_first_phase()
 
-    def _promise_myself(self) -> None:
+    def _request_own_promise(self) -> None:
         if self._own_promise_asked:
             return
         self._own_promise_asked = True
@@ -172,19 +172,19 @@
         self._witness.on_prepare(request, self._on_own_promise)
 
     def _on_own_promise(self, promise: Promise) -> None:
-        if self._over():
+        if self._has_ended():
             return
         self._note(promise)
         if not promise.granted:
             self._finish("own promise: " + promise.reason)
             return
         self._promises[self._env.name] = promise
-        self._consider()
+        self._advance_first_phase()
 
     # ---- second phase
 
     def _propose(self, base: View | None) -> None:
-        view = self._derive(base, {name: self._promises[name] for name in self._useful(base)})
+        view = self._derive(base, {name: self._promises[name] for name in self._usable_promises(base)})
         if view is None:
             self._finish("not to be led by this node")
             return
@@ -194,10 +194,10 @@
             if member.name != self._env.name:
                 address = self._env.address_of(member.name, view)
                 request = Propose(view=view)
-                self._env.network.call(address, request, PROPOSAL_SECONDS, partial(self._on_accepted, member.name))
+                self._env.network.call(address, request, PROPOSAL_TIMEOUT_SECONDS, partial(self._on_accepted, member.name))
 
     def _on_accepted(self, name: str, message: Struct | None) -> None:
-        if self._over() or self._view is None or not isinstance(message, Accepted) or message.name != name:
+        if self._has_ended() or self._view is None or not isinstance(message, Accepted) or message.name != name:
             return
         self._outcome.highest_epoch = max(self._outcome.highest_epoch, message.epoch)
         if message.granted:
--- a/pipitledge/replication/quorum.py
+++ b/pipitledge/replication/quorum.py
@@ -26,7 +26,7 @@
     return 2 * sum(count for name, count in votes.items() if name in names) > sum(votes.values())
 
 
-def _lists(view: View) -> list[list[Member]]:
+def _member_lists(view: View) -> list[list[Member]]:
     """All lists that decide: while members change, those before too."""
     return [view.members, view.previous] if view.previous else [view.members]
 
@@ -39,19 +39,19 @@
 
 def has_quorum(view: View, names: Collection[str]) -> bool:
     """Whether `names` hold a majority of the votes (and of those before, while members change)."""
-    return all(_is_majority(members, names) for members in _lists(view))
+    return all(_is_majority(members, names) for members in _member_lists(view))
 
 
-def meets_every_quorum(view: View, names: Collection[str]) -> bool:
+def intersects_every_quorum(view: View, names: Collection[str]) -> bool:
     """Whether every quorum has a node among `names`: all others together are none."""
-    return any(not _is_majority(members, _others(members, names)) for members in _lists(view))
+    return any(not _is_majority(members, _others(members, names)) for members in _member_lists(view))
 
 
 def _others(members: list[Member], names: Collection[str]) -> list[str]:
     return [member.name for member in members if member.name not in names]
 
 
-def quorum_since(view: View, times: Mapping[str, float], never: float) -> float:
+def latest_quorum_time(view: View, times: Mapping[str, float], never: float) -> float:
     """The latest time such that members with that time or a later one are a quorum; `never` stands for no time."""
     latest = sorted({times.get(member.name, never) for member in voters(view)}, reverse=True)
     for time in latest:
@@ -67,7 +67,7 @@
     return next((member for member in view.members if member.name == name), None)
 
 
-def holds_state(view: View | None, name: str, disk_id: int) -> bool:
+def is_in_sync(view: View | None, name: str, disk_id: int) -> bool:
     """Whether that node, with that disk, is in the in-sync set."""
     member = member_of(view, name)
     return view is not None and member is not None and name in view.in_sync and member.disk_id == disk_id
@@ -81,7 +81,7 @@
     zones: int = 0
     regions: int = 0
 
-    def suffices(self, names: Collection[str], members: list[Member]) -> bool:
+    def satisfied_by(self, names: Collection[str], members: list[Member]) -> bool:
         """Whether `names` are enough nodes, in enough places; never more is asked than there are."""
         holders = [member for member in members if member.name in names]
         return (
--- a/pipitledge/replication/recent_log.py
+++ b/pipitledge/replication/recent_log.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from pipitledge.replication.timing import APPEND_BYTES, LOG_BYTES
+from pipitledge.replication.timing import MAX_APPEND_BYTES, RECENT_LOG_BYTES
 from pipitledge.wire.messages import Entry
 
 ENTRY_OVERHEAD_BYTES = 64
@@ -27,7 +27,7 @@
 class RecentLog:
     """Entries with consecutive sequences, after the position `base`."""
 
-    def __init__(self, base: Position, limit_bytes: int = LOG_BYTES) -> None:
+    def __init__(self, base: Position, limit_bytes: int = RECENT_LOG_BYTES) -> None:
         """Empty, after `base`."""
         self._limit = limit_bytes
         self.reset(base)
@@ -57,7 +57,7 @@
         index = position.sequence - self._base.sequence - 1
         return 0 <= index < len(self._entries) and self._entries[index].term == position.term
 
-    def after(self, position: Position, limit_bytes: int = APPEND_BYTES) -> list[Entry]:
+    def after(self, position: Position, limit_bytes: int = MAX_APPEND_BYTES) -> list[Entry]:
         """Entries that follow `position`, which is held, up to about `limit_bytes`."""
         found: list[Entry] = []
         total = 0
--- a/pipitledge/replication/replica.py
+++ b/pipitledge/replication/replica.py
@@ -12,22 +12,22 @@
 from pipitledge.replication.backup import Backup
 from pipitledge.replication.election import Election, takeover_view
 from pipitledge.replication.environment import Environment, EventLog, MembershipSource, NodeInfo
-from pipitledge.replication.epochs import next_epoch, next_founding_epoch
-from pipitledge.replication.founding import Founding, founding_view
+from pipitledge.replication.epochs import next_epoch, next_bootstrap_epoch
+from pipitledge.replication.bootstrap import Bootstrap, bootstrap_view
 from pipitledge.replication.initial_members import (
     InitialMembersAcceptor,
     InitialMembersProposal,
     InitialOutcome,
     next_ballot,
 )
-from pipitledge.replication.inquiry import ViewInquiry
+from pipitledge.replication.view_discovery import ViewDiscovery
 from pipitledge.replication.interface import PrimaryService
-from pipitledge.replication.primary import RELEASED, Primary, PrimaryOwner
-from pipitledge.replication.proposal import Derive, Outcome, Proposal
-from pipitledge.replication.quorum import Tolerance, holds_state, member_of
+from pipitledge.replication.primary import RELEASED, Primary, PrimaryCallbacks
+from pipitledge.replication.proposal import DeriveView, ProposalOutcome, Proposal
+from pipitledge.replication.quorum import Tolerance, is_in_sync, member_of
 from pipitledge.replication.records import EpochRecord, InitialMembersRecord, RecoveredDisk, decode_epochs
-from pipitledge.replication.store import Store
-from pipitledge.replication.timing import ABDICATION_SECONDS, FOUNDING_GRACE_SECONDS, PROMISE_GRACE_SECONDS
+from pipitledge.replication.store import StateStore
+from pipitledge.replication.timing import STEP_DOWN_COOLDOWN_SECONDS, BOOTSTRAP_PROMISE_GRACE_SECONDS, PROMISE_GRACE_SECONDS
 from pipitledge.replication.witness import Witness
 from pipitledge.runtime.handlers import Handlers
 from pipitledge.runtime.ports import Clock, Disk, Network
@@ -73,14 +73,14 @@
         services: list[PrimaryService],
         log: EventLog,
         seeds: Sequence[str] = (),
-        may_found: Callable[[], bool] = lambda: True,
+        may_bootstrap: Callable[[], bool] = lambda: True,
     ) -> None:
         """`recovered` is what `disk` held; `may_found` holds the founding of the system up while it is False.
 
         `seeds` are the internal addresses of all seeds, this node's own among them if it is one; more than half of
         those of the first start decide who the first members are. Where none is named, this node alone does.
         """
-        record, restarted = _starting_record(recovered, bootstrap, random, seeds or [me.address])
+        record, restarted = _load_or_create_record(recovered, bootstrap, random, seeds or [me.address])
         member = Member(me.name, me.address, me.zone, me.region, record.disk_id)
         self._env = Environment(clock, network, disk, random, member, tolerance, membership, log)
         self._services = services
@@ -89,18 +89,18 @@
         self._initial_members: list[Member] = []  # once decided
         self._highest_ballot = record.initial.promised  # that any seed told of
         self._acceptor = InitialMembersAcceptor(
-            me.address, record.initial, self._witness.persist, lambda: self._founding.known()
+            me.address, record.initial, self._witness.persist, lambda: self._bootstrap.known()
         )
-        self._store = Store(self._env, recovered)
+        self._store = StateStore(self._env, recovered)
         self._view: View | None = None
         self._primary: Primary | None = None
         self._proposing = False
         self._highest_epoch = 0  # that any node told of
         self._backup = Backup(self._env, self._witness, self._store, self._known_view, self._on_primary_heard)
-        self._inquiry = ViewInquiry(self._env, self._latest)
-        self._election = Election(self._env, self._witness, self._latest, self._inquiry, self._propose_takeover)
+        self._view_discovery = ViewDiscovery(self._env, self._latest)
+        self._election = Election(self._env, self._witness, self._latest, self._view_discovery, self._propose_takeover)
         self._amnesia = AmnesiaRecovery(self._env, self._witness, self._latest, lambda: self.view)
-        self._founding = Founding(self._env, self._is_founded, may_found, self._propose_founding)
+        self._bootstrap = Bootstrap(self._env, self._is_bootstrapped, may_bootstrap, self._propose_bootstrap)
 
     def start(self) -> None:
         """Begin; all handlers have to be registered."""
@@ -108,7 +108,7 @@
         if self._witness.amnesiac:
             self._amnesia.start()
         elif self._witness.original and self._witness.accepted is None:
-            self._founding.start()
+            self._bootstrap.start()
         self._election.start()
 
     def register(self, handlers: Handlers) -> None:
@@ -131,9 +131,9 @@
         if self._primary is not None:
             self._primary.release()
 
-    def relied_on(self) -> bool:
+    def is_in_sync_member(self) -> bool:
         """Whether this node is still of the in-sync set, so far as it knows: what it holds may not be elsewhere yet."""
-        return holds_state(self.view, self._env.name, self._env.me.disk_id)
+        return is_in_sync(self.view, self._env.name, self._env.me.disk_id)
 
     # ---- Replicator
 
@@ -150,13 +150,13 @@
         return self._view
 
     @property
-    def awaits_founding(self) -> bool:
+    def awaits_bootstrap(self) -> bool:
         """Whether this node started with the system and is no member yet; its descriptor says so as `bootstrap`."""
         return self._witness.original
 
     def is_primary(self) -> bool:
         """Whether this node leads, has started its duties and holds its lease."""
-        return self._primary is not None and self._primary.acts()
+        return self._primary is not None and self._primary.is_serving()
 
     def write(self, writes: list[Write], on_committed: Callable[[], None] | None = None) -> None:
         """Append a batch; ignored unless this node leads."""
@@ -201,7 +201,7 @@
         """The view of the highest epoch that this node knows or has accepted; at the founding, that it heard of."""
         self._learn_from_membership()
         views = [view for view in (self._view, self._witness.accepted) if view is not None]
-        return max(views, key=lambda view: view.epoch, default=self._inquiry.heard)
+        return max(views, key=lambda view: view.epoch, default=self._view_discovery.heard)
 
     def _learn_from_membership(self) -> None:
         view = self._env.membership.view
@@ -223,7 +223,7 @@
         if self._primary is not None and view.term != self._primary.view.term:
             self._end_primary("another primary was elected")
 
-    def _is_founded(self) -> bool:
+    def _is_bootstrapped(self) -> bool:
         return self._latest() is not None
 
     # ---- proposals
@@ -235,7 +235,7 @@
         epoch = next_epoch(max(self._witness.promised, latest.epoch, self._highest_epoch), self._env.name)
         self._propose(epoch, latest, partial(takeover_view, self._env, epoch), self._election.failed)
 
-    def _propose_founding(self, known: list[Member]) -> None:
+    def _propose_bootstrap(self, known: list[Member]) -> None:
         """Have the first members decided, then a view of just these."""
         if self._proposing:
             return
@@ -260,17 +260,17 @@
         """Propose the first view if the members are decided and this node is one; else leave it to those that are."""
         start = View(members=self._initial_members)
         if member_of(start, self._env.name) is None:
-            self._founding.failed()
+            self._bootstrap.failed()
             return
-        epoch = next_founding_epoch(max(self._witness.promised, self._highest_epoch), self._env.name)
-        derive = partial(founding_view, self._env, epoch, start)
-        self._propose(epoch, start, derive, self._founding.failed, FOUNDING_GRACE_SECONDS)
+        epoch = next_bootstrap_epoch(max(self._witness.promised, self._highest_epoch), self._env.name)
+        derive = partial(bootstrap_view, self._env, epoch, start)
+        self._propose(epoch, start, derive, self._bootstrap.failed, BOOTSTRAP_PROMISE_GRACE_SECONDS)
 
     def _propose(
         self,
         epoch: int,
         start: View,
-        derive: Derive,
+        derive: DeriveView,
         on_failed: Callable[[], None],
         grace: float = PROMISE_GRACE_SECONDS,
     ) -> None:
@@ -280,11 +280,11 @@
         on_done = partial(self._on_outcome, on_failed)
         Proposal(self._env, self._witness, epoch, start, derive, on_done, grace).run()
 
-    def _on_outcome(self, on_failed: Callable[[], None], outcome: Outcome) -> None:
+    def _on_outcome(self, on_failed: Callable[[], None], outcome: ProposalOutcome) -> None:
         self._proposing = False
         self._highest_epoch = max(self._highest_epoch, outcome.highest_epoch)
         if outcome.decided is None:
-            self._inquiry.note(outcome.latest)
+            self._view_discovery.note(outcome.latest)
             self._env.log.info("not_elected", reason=outcome.reason, highest=outcome.highest_epoch)
             on_failed()
             return
@@ -293,7 +293,7 @@
             self._become_primary(outcome.decided)
 
     def _become_primary(self, view: View) -> None:
-        owner = PrimaryOwner(on_decided=self._learn, on_ended=self._end_primary)
+        owner = PrimaryCallbacks(on_decided=self._learn, on_ended=self._end_primary)
         self._primary = Primary(self._env, self._witness, self._store, view, self._services, owner)
         self._primary.start()
         if self._election.retired:
@@ -306,7 +306,7 @@
         self._env.log.warning("primary_ended", term=primary.view.term, reason=reason)
         self._election.heard()
         if reason == "disk stalled":
-            self._election.hold_off(ABDICATION_SECONDS)
+            self._election.hold_off(STEP_DOWN_COOLDOWN_SECONDS)
         primary.end()
 
     # ---- messages
@@ -326,7 +326,7 @@
         granted = (
             message.primary != self._env.name
             and message.term >= self._store.position.term
-            and self._witness.obeys(message.epoch, message.term, message.primary)
+            and self._witness.accepts_primary(message.epoch, message.term, message.primary)
         )
         if granted:
             self._on_primary_heard()
@@ -334,7 +334,7 @@
         self._answer_heartbeat(message, granted)
 
     def _on_release(self, message: Heartbeat) -> None:
-        if self._witness.obeys(message.epoch, message.term, message.primary):
+        if self._witness.accepts_primary(message.epoch, message.term, message.primary):
             self._witness.release_lease(message.primary)
             self._election.released()
 
@@ -366,7 +366,7 @@
 
     def _after_promise(self, reply: Callable[[Struct], None], promise: Promise) -> None:
         if promise.granted and promise.accepted is None:
-            self._founding.wait_for_other()
+            self._bootstrap.wait_for_other()
         reply(promise)
 
     def _on_propose(self, message: Propose, reply: Callable[[Struct], None]) -> None:
@@ -421,7 +421,7 @@
             reply(RepairReply(granted=False, epoch=self._witness.promised, view=self._view))
 
 
-def _starting_record(
+def _load_or_create_record(
     recovered: RecoveredDisk, bootstrap: bool, random: Random, seeds: Sequence[str]
 ) -> tuple[EpochRecord, bool]:
     """The epoch record to go on from, and whether an earlier life may have made promises."""
--- a/pipitledge/replication/state_map.py
+++ b/pipitledge/replication/state_map.py
@@ -8,12 +8,12 @@
 
 from pipitledge.wire.messages import RangeContent, RangeDigest, Write
 
-RANGES = 256
+RANGE_COUNT = 256
 
 
 def range_of(key: str) -> int:
     """The range that a key belongs to."""
-    return zlib.crc32(key.encode()) % RANGES
+    return zlib.crc32(key.encode()) % RANGE_COUNT
 
 
 def _digest(key: str, value: bytes) -> int:
@@ -26,8 +26,8 @@
 
     def __init__(self) -> None:
         """An empty map."""
-        self._ranges: list[dict[str, bytes]] = [{} for _ in range(RANGES)]
-        self._digests = [0] * RANGES
+        self._ranges: list[dict[str, bytes]] = [{} for _ in range(RANGE_COUNT)]
+        self._digests = [0] * RANGE_COUNT
 
     def fork(self) -> StateMap:
         """A copy to be changed by `replace_range` alone; it shares the ranges that are not replaced."""
--- a/pipitledge/replication/store.py
+++ b/pipitledge/replication/store.py
@@ -21,14 +21,14 @@
 from pipitledge.wire.messages import Entry
 
 
-class _Submitted(Struct):
+class _PendingWrite(Struct):
     """A write that the disk has not confirmed."""
 
     number: int
     at: float
 
 
-class Store:
+class StateStore:
     """State as of `position`; what is applied is also on its way to the disk, in order."""
 
     def __init__(self, env: Environment, recovered: RecoveredDisk) -> None:
@@ -38,7 +38,7 @@
         self.position = Position()
         self._submitted = 0
         self._durable = 0
-        self._pending: deque[_Submitted] = deque()
+        self._pending: deque[_PendingWrite] = deque()
         self._waiting: deque[tuple[int, Callable[[], None]]] = deque()
         self._load_snapshot(recovered.snapshot)
         self.log = RecentLog(self.position)
@@ -84,7 +84,7 @@
 
     def _submit(self) -> Callable[[], None]:
         self._submitted += 1
-        self._pending.append(_Submitted(self._submitted, self._env.clock.now()))
+        self._pending.append(_PendingWrite(self._submitted, self._env.clock.now()))
         return self._on_durable
 
     def _on_durable(self) -> None:
--- a/pipitledge/replication/stream.py
+++ b/pipitledge/replication/stream.py
@@ -8,19 +8,19 @@
 
 from pipitledge.replication.environment import Environment
 from pipitledge.replication.recent_log import Position
-from pipitledge.replication.store import Store
+from pipitledge.replication.store import StateStore
 from pipitledge.replication.timing import (
-    APPEND_SECONDS,
-    DOUBT_SECONDS,
-    PROBE_SECONDS,
-    REFUSED_SECONDS,
-    SILENT_SECONDS,
+    APPEND_TIMEOUT_SECONDS,
+    TCP_CHECK_AFTER_SECONDS,
+    PROBE_INTERVAL_SECONDS,
+    REFUSED_BACKUP_TIMEOUT_SECONDS,
+    BACKUP_TIMEOUT_SECONDS,
     UNREACHABLE_SECONDS,
 )
 from pipitledge.wire.messages import Append, AppendReply, HeartbeatReply, View
 
-HOLD_OFF_SECONDS = 0.5  # after a backup left the in-sync set, before it joins again; doubled each time
-HOLD_OFF_LIMIT_SECONDS = 2.0
+REJOIN_BACKOFF_SECONDS = 0.5  # after a backup left the in-sync set, before it joins again; doubled each time
+REJOIN_BACKOFF_LIMIT_SECONDS = 2.0
 QUICK_FAILURE_SECONDS = 0.3  # a call that fails sooner met a machine that answers, and no process
 
 
@@ -35,17 +35,17 @@
     def committed(self) -> int:
         """Sequence of the last entry committed."""
 
-    def backup_advanced(self) -> None:
+    def on_backup_advanced(self) -> None:
         """A backup holds more than before, or holds it on another disk."""
 
-    def saw_epoch(self, epoch: int) -> None:
+    def on_higher_epoch(self, epoch: int) -> None:
         """A node promised a higher epoch."""
 
 
 class BackupStream:
     """One backup or learner. At most one call is under way; the next one carries all that has come up since."""
 
-    def __init__(self, env: Environment, owner: StreamOwner, store: Store, name: str) -> None:
+    def __init__(self, env: Environment, owner: StreamOwner, store: StateStore, name: str) -> None:
         """Nothing is known of it yet."""
         self._env = env
         self._owner = owner
@@ -57,28 +57,28 @@
         self.durable = 0  # sequence it is known to hold on that disk
         self.confirmed = False  # it holds the same history, up to `durable`
         self.heartbeats_since_view = 0
-        self._aim: Position | None = None  # what it holds, so far as is known
-        self._last_heard = env.clock.now()
+        self._last_known_position: Position | None = None  # what it holds, so far as is known
+        self._last_contact_at = env.clock.now()
         self._sent_at = 0.0
         self._in_flight = False
         self._attempt = 0
         self._refused = False
-        self._probed_at = -PROBE_SECONDS
-        self._hold_off = HOLD_OFF_SECONDS
-        self._hold_off_until = 0.0
+        self._probed_at = -PROBE_INTERVAL_SECONDS
+        self._rejoin_backoff = REJOIN_BACKOFF_SECONDS
+        self._rejoin_after = 0.0
 
     # ---- whether it is there
 
     def silent_for(self) -> float:
         """Seconds since it last answered anything."""
-        return self._env.clock.now() - self._last_heard
+        return self._env.clock.now() - self._last_contact_at
 
     def responsive(self) -> bool:
         """Whether it answers heartbeats and appends."""
         silent = self.silent_for()
-        if silent > SILENT_SECONDS or (self._refused and silent > REFUSED_SECONDS):
+        if silent > BACKUP_TIMEOUT_SECONDS or (self._refused and silent > REFUSED_BACKUP_TIMEOUT_SECONDS):
             return False
-        return not self._in_flight or self._env.clock.now() - self._sent_at <= SILENT_SECONDS
+        return not self._in_flight or self._env.clock.now() - self._sent_at <= BACKUP_TIMEOUT_SECONDS
 
     def unreachable(self) -> bool:
         """Whether it has been silent so long that another may take its place."""
@@ -88,24 +88,24 @@
         """Whether it holds all that is committed, and answers."""
         return self.confirmed and self.durable >= self._owner.committed and self.responsive()
 
-    def near(self, lag: int) -> bool:
+    def nearly_caught_up(self, lag: int) -> bool:
         """Whether it follows with few entries missing, and is not held off."""
         behind = self._store.position.sequence - self.durable
-        return self.confirmed and behind <= lag and self.responsive() and not self.held_off()
+        return self.confirmed and behind <= lag and self.responsive() and not self.in_rejoin_backoff()
 
-    def held_off(self) -> bool:
+    def in_rejoin_backoff(self) -> bool:
         """Whether it left the in-sync set a short time ago."""
-        return self._env.clock.now() < self._hold_off_until
+        return self._env.clock.now() < self._rejoin_after
 
     def left(self) -> None:
         """It was taken out of the in-sync set."""
-        self._hold_off_until = self._env.clock.now() + self._hold_off
-        self._hold_off = min(2 * self._hold_off, HOLD_OFF_LIMIT_SECONDS)
+        self._rejoin_after = self._env.clock.now() + self._rejoin_backoff
+        self._rejoin_backoff = min(2 * self._rejoin_backoff, REJOIN_BACKOFF_LIMIT_SECONDS)
 
-    def excuse(self) -> None:
+    def reset_timeouts(self) -> None:
         """This node itself was asleep: nobody's silence counts."""
-        self._last_heard = self._env.clock.now()
-        self._sent_at = self._last_heard
+        self._last_contact_at = self._env.clock.now()
+        self._sent_at = self._last_contact_at
 
     # ---- what it tells
 
@@ -114,42 +114,42 @@
         self._heard(message.disk_id)
         self.amnesiac = message.amnesiac
         self.leaving = message.leaving
-        if self._aim is None:
-            self._aim = Position(message.term, message.sequence)
-        self.pump()
+        if self._last_known_position is None:
+            self._last_known_position = Position(message.term, message.sequence)
+        self.send_next()
 
     def _heard(self, disk_id: int) -> None:
-        self._last_heard = self._env.clock.now()
+        self._last_contact_at = self._env.clock.now()
         self._refused = False
         if disk_id != self.disk_id:
             self.disk_id = disk_id
             self.durable = 0
             self.confirmed = False
-            self._aim = None
-            self._owner.backup_advanced()
+            self._last_known_position = None
+            self._owner.on_backup_advanced()
 
     # ---- entries
 
-    def pump(self) -> None:
+    def send_next(self) -> None:
         """Send what it lacks, unless a call is under way."""
-        if self._in_flight or self._aim is None:
+        if self._in_flight or self._last_known_position is None:
             return
-        if not self._store.log.holds(self._aim):
+        if not self._store.log.holds(self._last_known_position):
             self._probe()
             return
-        if self._aim == self._store.position and self.confirmed:
+        if self._last_known_position == self._store.position and self.confirmed:
             return
-        self._send(self._aim, with_entries=True)
+        self._send(self._last_known_position, with_entries=True)
 
     def check(self) -> None:
         """Ask over TCP whether a backup is there, whose answers to heartbeats may have been lost."""
-        if self.silent_for() > DOUBT_SECONDS and not self._in_flight and self._aim is not None:
-            self._send(self._aim, with_entries=self._store.log.holds(self._aim))
+        if self.silent_for() > TCP_CHECK_AFTER_SECONDS and not self._in_flight and self._last_known_position is not None:
+            self._send(self._last_known_position, with_entries=self._store.log.holds(self._last_known_position))
 
     def _probe(self) -> None:
         """Show a backup that needs more than the log holds where this node is, so that it has itself repaired."""
         now = self._env.clock.now()
-        if now >= self._probed_at + PROBE_SECONDS:
+        if now >= self._probed_at + PROBE_INTERVAL_SECONDS:
             self._probed_at = now
             self._send(self._store.position, with_entries=False)
 
@@ -168,35 +168,35 @@
         self._attempt += 1
         self._sent_at = self._env.clock.now()
         address = self._env.address_of(self.name, view)
-        self._env.network.call(address, request, APPEND_SECONDS, lambda reply: self._on_reply(previous, reply))
+        self._env.network.call(address, request, APPEND_TIMEOUT_SECONDS, lambda reply: self._on_reply(previous, reply))
 
     def _on_reply(self, previous: Position, reply: Struct | None) -> None:
         self._in_flight = False
         if not isinstance(reply, AppendReply) or reply.name != self.name:  # another machine may have the address by now
             self._refused = self._env.clock.now() - self._sent_at < QUICK_FAILURE_SECONDS
-            self._aim = None
+            self._last_known_position = None
             self.confirmed = False  # it may have stored the entries and only its answer was lost: ask
             return
         self._heard(reply.disk_id)
         if reply.accepted:
             self._on_accepted(reply)
         else:
-            self._on_refused(previous, reply)
+            self._on_rejected(previous, reply)
 
     def _on_accepted(self, reply: AppendReply) -> None:
-        self._aim = Position(reply.term, reply.sequence)
+        self._last_known_position = Position(reply.term, reply.sequence)
         self.durable = reply.sequence
         self.confirmed = True
-        self._owner.backup_advanced()
-        self.pump()
+        self._owner.on_backup_advanced()
+        self.send_next()
 
-    def _on_refused(self, previous: Position, reply: AppendReply) -> None:
+    def _on_rejected(self, previous: Position, reply: AppendReply) -> None:
         told = Position(reply.term, reply.sequence)
         if reply.epoch > self._owner.view.epoch:
-            self._aim = None
-            self._owner.saw_epoch(reply.epoch)
+            self._last_known_position = None
+            self._owner.on_higher_epoch(reply.epoch)
         elif reply.diverged or told == previous:
-            self._aim = None
+            self._last_known_position = None
         else:
-            self._aim = told
-            self.pump()
+            self._last_known_position = told
+            self.send_next()
--- a/pipitledge/replication/inquiry.py
+++ b/pipitledge/replication/view_discovery.py
@@ -12,11 +12,11 @@
 
 from pipitledge.replication.environment import Environment
 from pipitledge.replication.quorum import voters
-from pipitledge.replication.timing import INQUIRY_SECONDS, PROPOSAL_SECONDS
+from pipitledge.replication.timing import VIEW_QUERY_INTERVAL_SECONDS, PROPOSAL_TIMEOUT_SECONDS
 from pipitledge.wire.messages import EpochQuery, EpochReply, View
 
 
-class ViewInquiry:
+class ViewDiscovery:
     """Remembers the latest view that another member told of, decided or not."""
 
     def __init__(self, env: Environment, latest: Callable[[], View | None]) -> None:
@@ -42,11 +42,11 @@
         view = self._latest()
         if view is None or now < self._not_before:
             return
-        self._not_before = now + INQUIRY_SECONDS
+        self._not_before = now + VIEW_QUERY_INTERVAL_SECONDS
         for member in voters(view):
             if member.name != self._env.name:
                 address = self._env.address_of(member.name, view)
-                self._env.network.call(address, EpochQuery(self._env.name), PROPOSAL_SECONDS, self._on_reply)
+                self._env.network.call(address, EpochQuery(self._env.name), PROPOSAL_TIMEOUT_SECONDS, self._on_reply)
 
     def _on_reply(self, reply: Struct | None) -> None:
         if isinstance(reply, EpochReply) and not reply.amnesiac:
--- a/pipitledge/replication/witness.py
+++ b/pipitledge/replication/witness.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 
 from pipitledge.replication.environment import Environment
-from pipitledge.replication.epochs import is_founding
+from pipitledge.replication.epochs import is_bootstrap_epoch
 from pipitledge.replication.quorum import member_of
 from pipitledge.replication.records import EpochRecord, encode_epochs
-from pipitledge.replication.timing import LEASE_PROMISED_SECONDS
+from pipitledge.replication.timing import MEMBER_LEASE_SECONDS
 from pipitledge.wire.messages import Accepted, EpochReply, Prepare, Promise, Propose, View
 
 REASON_EPOCH = "epoch"  # a higher epoch, or this one to another proposer, is promised
@@ -29,7 +29,7 @@
         """Go on from `record`; after a restart a lease given before may still run."""
         self._env = env
         self._record = record
-        self._quiet_until = env.clock.now() + LEASE_PROMISED_SECONDS if restarted else 0.0
+        self._restart_lease_until = env.clock.now() + MEMBER_LEASE_SECONDS if restarted else 0.0
         self._lease_holder = ""
         self._lease_until = 0.0
         self.leaving = False
@@ -80,7 +80,7 @@
             return REASON_EPOCH
         if message.epoch == record.promised and message.proposer != record.promised_to:
             return REASON_EPOCH
-        if self._bound_by_lease() and message.proposer != self._holder():
+        if self._bound_by_lease() and message.proposer != self._possible_lease_holder():
             return REASON_LEASE
         return ""
 
@@ -103,7 +103,7 @@
     def on_propose(self, message: Propose, reply: Callable[[Accepted], None]) -> None:
         """Second phase: accept a view, unless a higher epoch is promised."""
         view = message.view
-        if self._record.amnesiac or view.epoch < self._record.promised or not self._may_found(view):
+        if self._record.amnesiac or view.epoch < self._record.promised or not self._may_accept_bootstrap(view):
             reply(Accepted(granted=False, epoch=self._record.promised, name=self._env.name))
             return
         self._accept(view)
@@ -117,9 +117,9 @@
         if member_of(view, self._env.name) is not None:
             self._record.original = False
 
-    def _may_found(self, view: View) -> bool:
+    def _may_accept_bootstrap(self, view: View) -> bool:
         """A view that founds the system is taken once, by a node of the first start."""
-        return not is_founding(view.epoch) or (self._record.accepted is None and self._record.original)
+        return not is_bootstrap_epoch(view.epoch) or (self._record.accepted is None and self._record.original)
 
     # ---- what is told by others
 
@@ -130,9 +130,9 @@
             return
         if accepted is None or accepted.epoch < view.epoch:
             self._accept(view)
-            self.persist(_nothing)
+            self.persist(_ignore)
 
-    def follow(self, epoch: int, primary: str) -> bool:
+    def promise_to_primary(self, epoch: int, primary: str) -> bool:
         """Promise the epoch of a primary that is obeyed; True if that is to be made durable first."""
         if epoch <= self._record.promised:
             return False
@@ -140,7 +140,7 @@
         self._record.promised_to = primary
         return True
 
-    def obeys(self, epoch: int, term: int, primary: str) -> bool:
+    def accepts_primary(self, epoch: int, term: int, primary: str) -> bool:
         """Whether messages of that primary count: it is not known that another has taken its place."""
         record = self._record
         if epoch >= record.promised:
@@ -154,7 +154,7 @@
     def grant_lease(self, holder: str) -> None:
         """Promise nothing to others for the span of a lease."""
         self._lease_holder = holder
-        self._lease_until = self._env.clock.now() + LEASE_PROMISED_SECONDS
+        self._lease_until = self._env.clock.now() + MEMBER_LEASE_SECONDS
 
     def release_lease(self, holder: str) -> None:
         """The holder gave its lease back."""
@@ -162,9 +162,9 @@
             self._lease_until = 0.0
 
     def _bound_by_lease(self) -> bool:
-        return self._env.clock.now() < max(self._lease_until, self._quiet_until)
+        return self._env.clock.now() < max(self._lease_until, self._restart_lease_until)
 
-    def _holder(self) -> str:
+    def _possible_lease_holder(self) -> str:
         if self._env.clock.now() < self._lease_until:
             return self._lease_holder
         accepted = self._record.accepted
@@ -174,7 +174,7 @@
 
     def force(self, view: View, reply: Callable[[str], None]) -> None:
         """Take a view that an operator orders, whatever was lost; `reply` gets why not, or "" once it is durable."""
-        reason = self._why_not_forced(view)
+        reason = self._force_refusal(view)
         if reason:
             reply(reason)
             return
@@ -182,7 +182,7 @@
         self._accept(view)
         self.persist(lambda: reply(""))
 
-    def _why_not_forced(self, view: View) -> str:
+    def _force_refusal(self, view: View) -> str:
         member = member_of(view, self._env.name)
         if member is None or member.disk_id != self._env.me.disk_id:
             return REASON_NOT_NAMED
@@ -221,5 +221,5 @@
         self.persist(on_durable)
 
 
-def _nothing() -> None:
+def _ignore() -> None:
     """Nobody waits."""
--- a/tests/system/replica_bugs.py
+++ b/tests/system/replica_bugs.py
@@ -72,7 +72,7 @@
 
 _TARGET = target_view.target_view
 _WITNESS_INIT = Witness.__init__
-_COUNT_ON = Primary._count_on
+_UPDATE_COMMIT_MEMBERS = Primary._update_commit_members
 _ON_APPEND = Backup.on_append
 _MAJORITY = initial_members.is_majority_of_seeds
 
@@ -83,7 +83,7 @@
 
 def _count_on_the_view_alone(self: Primary) -> None:
     proposed, self._proposed = self._proposed, []
-    _COUNT_ON(self)
+    _UPDATE_COMMIT_MEMBERS(self)
     self._proposed = proposed
 
 
@@ -108,11 +108,11 @@
 
 
 def _moves_the_vote_at_once(situation: Any, members: list[Member]) -> Any:
-    changed = _WITH_VOTE_MOVED(situation, members)
-    return None if changed is None else target_view._Membership(changed.members, [])
+    changed = _WITH_CASTING_VOTE_MOVED(situation, members)
+    return None if changed is None else target_view._MemberLists(changed.members, [])
 
 
-_WITH_VOTE_MOVED = target_view._with_vote_moved
+_WITH_CASTING_VOTE_MOVED = target_view._with_casting_vote_moved
 
 
 def _taken_in_by_name(self: amnesia.AmnesiaRecovery) -> bool:
@@ -125,10 +125,10 @@
 
 def _held_without_those_that_leave(self: Primary, member: Member) -> int:
     stream = self._streams.get(member.name)
-    return self._own_durable if stream is not None and stream.leaving else _HELD_BY(self, member)
+    return self._own_durable if stream is not None and stream.leaving else _DURABLE_ON(self, member)
 
 
-_HELD_BY = Primary._held_by
+_DURABLE_ON = Primary._durable_on
 
 
 def _obeys_any_term(self: Backup, _epoch: int, _term: int, primary_name: str) -> bool:
@@ -140,14 +140,14 @@
     Bug("a lost disk votes at once", _method(amnesia.AmnesiaRecovery, "start", _votes_at_once), seed=2, steps=10),
     Bug(
         "one answer gives lost promises back",
-        _method(amnesia, "meets_every_quorum", lambda _view, names: bool(names)),
+        _method(amnesia, "intersects_every_quorum", lambda _view, names: bool(names)),
         FIVE,
         seed=5,
         steps=5,
     ),
     Bug("lower epochs are accepted", _method(Witness, "on_propose", _accepts_anything), seed=11, steps=20),
     Bug("half is a quorum", _method(quorum, "_is_majority", _half), FOUR, seed=0, steps=3),
-    Bug("a new disk is taken for the old", _method(election, "holds_state", _in_set), seed=0, steps=8),
+    Bug("a new disk is taken for the old", _method(election, "is_in_sync", _in_set), seed=0, steps=8),
     Bug(
         "members change in one step",
         _method(primary, "target_view", _without_joint_view),
@@ -163,7 +163,7 @@
     ),
     Bug("the lease binds nobody", _method(Witness, "_bound_by_lease", lambda _self: False), seed=7, steps=23),
     Bug("a restart forgets the lease", _method(Witness, "__init__", _not_quiet), FOUR_IN_ZONES, seed=21, steps=3),
-    Bug("all that answer join the set", _method(election, "_stays", lambda *_: True), seed=1, steps=7),
+    Bug("all that answer join the set", _method(election, "_remains_in_sync", lambda *_: True), seed=1, steps=7),
     Bug(
         "one that lacks entries joins the set",
         _method(BackupStream, "caught_up", lambda self: self.responsive()),
@@ -172,13 +172,13 @@
     ),
     Bug(
         "commits do not wait for a set that may follow",
-        _method(Primary, "_count_on", _count_on_the_view_alone),
+        _method(Primary, "_update_commit_members", _count_on_the_view_alone),
         seed=7,
         steps=28,
     ),
     Bug("entries are taken that do not follow", _method(Backup, "on_append", _takes_any_entries), seed=3, steps=11),
     Bug("entries are confirmed before they are durable", _method(Backup, "_when_durable", _at_once), seed=2, steps=11),
-    Bug("a primary of an older term is obeyed", _method(Backup, "_obeys", _obeys_any_term), seed=2, steps=17),
+    Bug("a primary of an older term is obeyed", _method(Backup, "_accepts_primary", _obeys_any_term), seed=2, steps=17),
     Bug(
         "a repair ends with its first answer",
         _method(Backup, "_on_reply", _finish_early),
@@ -188,26 +188,26 @@
     ),
     Bug(
         "an answer of another term renews the lease",
-        _method(Primary, "_sent_in_office", lambda *_: True),
+        _method(Primary, "_sent_in_this_term", lambda *_: True),
         seed=11,
         steps=6,
     ),
     Bug(
         "commits do not wait for a backup that leaves",
-        _method(Primary, "_held_by", _held_without_those_that_leave),
+        _method(Primary, "_durable_on", _held_without_those_that_leave),
         seed=5,
         steps=28,
     ),
     Bug(
         "the second vote moves in one step",
-        _method(target_view, "_with_vote_moved", _moves_the_vote_at_once),
+        _method(target_view, "_with_casting_vote_moved", _moves_the_vote_at_once),
         FOUR,
         seed=4,
         steps=3,
     ),
     Bug(
         "a view that names the old disk gives the vote back",
-        _method(amnesia.AmnesiaRecovery, "_taken_in", _taken_in_by_name),
+        _method(amnesia.AmnesiaRecovery, "_recover_from_view", _taken_in_by_name),
         seed=0,
         steps=6,
     ),
--- a/tests/system/test_control_members.py
+++ b/tests/system/test_control_members.py
@@ -218,7 +218,7 @@
         self.cluster.replicas[self.backup].step_down()
         self.cluster.world.run_for(0.6)
         self.assertNotIn(self.backup, self.cluster.view().in_sync)
-        self.assertFalse(self.cluster.replicas[self.backup].relied_on())
+        self.assertFalse(self.cluster.replicas[self.backup].is_in_sync_member())
         before = len(self.client.acks)
         self.cluster.machines[self.backup].kill()
         self.cluster.world.run_for(0.15)
@@ -229,11 +229,11 @@
         self.cluster.await_in_sync({self.primary, self.backup}, 3.0)
         self.cluster.replicas[self.backup].step_down()
         self.cluster.world.run_for(1.0)
-        self.assertTrue(self.cluster.replicas[self.backup].relied_on())
+        self.assertTrue(self.cluster.replicas[self.backup].is_in_sync_member())
         self.cluster.start(self.third)
         self.cluster.await_in_sync({self.primary, self.third}, 5.0)
         self.cluster.world.run_for(0.5)
-        self.assertFalse(self.cluster.replicas[self.backup].relied_on())
+        self.assertFalse(self.cluster.replicas[self.backup].is_in_sync_member())
 
     def test_a_primary_that_holds_one_of_two_copies_hands_over(self) -> None:
         self.cluster.machines[self.third].power_off()
@@ -242,7 +242,7 @@
         self.cluster.replicas[self.primary].step_down()
         self.cluster.await_in_sync({self.backup, self.third}, 6.0)
         self.cluster.world.run_for(0.5)
-        self.assertFalse(self.cluster.replicas[self.primary].relied_on())
+        self.assertFalse(self.cluster.replicas[self.primary].is_in_sync_member())
         self.assertEqual([], self.client.missing(self.cluster.state(self.backup)))
 
     def test_planned_replacement_before_the_old_one_ends(self) -> None:
--- a/tests/system/test_quorums.py
+++ b/tests/system/test_quorums.py
@@ -6,11 +6,11 @@
 import unittest
 from dataclasses import dataclass
 
-from pipitledge.replication.epochs import FIRST_ORDINARY_EPOCH, is_founding, next_epoch, next_founding_epoch
+from pipitledge.replication.epochs import FIRST_ORDINARY_EPOCH, is_bootstrap_epoch, next_epoch, next_bootstrap_epoch
 from pipitledge.replication.lease import Lease
-from pipitledge.replication.quorum import Tolerance, has_quorum, meets_every_quorum
-from pipitledge.replication.target_view import Situation, target_view, wants_learners
-from pipitledge.replication.timing import LEASE_HELD_SECONDS
+from pipitledge.replication.quorum import Tolerance, has_quorum, intersects_every_quorum
+from pipitledge.replication.target_view import ViewInputs, target_view, wants_learners
+from pipitledge.replication.timing import PRIMARY_LEASE_SECONDS
 from pipitledge.wire.messages import (
     Member,
     NodeDescriptor,
@@ -47,7 +47,7 @@
                 self.assertTrue(all(first & second for first in quorums for second in quorums))
                 self.assertTrue(all(group in quorums for group in groups if 2 * len(group) > count))
                 for group in groups:
-                    self.assertEqual(meets_every_quorum(view, group), all(group & quorum for quorum in quorums))
+                    self.assertEqual(intersects_every_quorum(view, group), all(group & quorum for quorum in quorums))
 
     def test_quorums_of_a_change_share_a_member_with_those_before_and_after(self) -> None:
         for before, after in ((members(4), members(4, start=1)), (members(4), [*members(4)[1:], members(1)[0]])):
@@ -67,25 +67,25 @@
 
     def test_answers_that_meet_every_quorum(self) -> None:
         view = View(members=members(5))
-        self.assertFalse(meets_every_quorum(view, {"m0", "m1"}))
-        self.assertTrue(meets_every_quorum(view, {"m0", "m1", "m2"}))
+        self.assertFalse(intersects_every_quorum(view, {"m0", "m1"}))
+        self.assertTrue(intersects_every_quorum(view, {"m0", "m1", "m2"}))
 
     def test_tolerance_counts_machines_and_places(self) -> None:
         tolerance = Tolerance(machines=1, zones=1)
-        self.assertFalse(tolerance.suffices({"m0"}, members(3)))
-        self.assertFalse(tolerance.suffices({"m0", "m2"}, members(3)))
-        self.assertTrue(tolerance.suffices({"m0", "m1"}, members(3)))
-        self.assertTrue(tolerance.suffices({"m0"}, members(1)))
+        self.assertFalse(tolerance.satisfied_by({"m0"}, members(3)))
+        self.assertFalse(tolerance.satisfied_by({"m0", "m2"}, members(3)))
+        self.assertTrue(tolerance.satisfied_by({"m0", "m1"}, members(3)))
+        self.assertTrue(tolerance.satisfied_by({"m0"}, members(1)))
 
 
 class EpochTest(unittest.TestCase):
     def test_epochs_rise_and_founding_stays_below(self) -> None:
-        first = next_founding_epoch(0, "a")
-        second = next_founding_epoch(first, "b")
+        first = next_bootstrap_epoch(0, "a")
+        second = next_bootstrap_epoch(first, "b")
         later = next_epoch(second, "a")
         self.assertTrue(0 < first < second < FIRST_ORDINARY_EPOCH <= later < next_epoch(later, "b"))
-        self.assertTrue(is_founding(second))
-        self.assertFalse(is_founding(later))
+        self.assertTrue(is_bootstrap_epoch(second))
+        self.assertFalse(is_bootstrap_epoch(later))
 
 
 class LeaseTest(unittest.TestCase):
@@ -94,8 +94,8 @@
         lease.answered("m0", 10.0)
         self.assertFalse(lease.held(10.1))
         lease.answered("m1", 9.9)
-        self.assertTrue(lease.held(9.9 + LEASE_HELD_SECONDS - 0.01))
-        self.assertFalse(lease.held(9.9 + LEASE_HELD_SECONDS))
+        self.assertTrue(lease.held(9.9 + PRIMARY_LEASE_SECONDS - 0.01))
+        self.assertFalse(lease.held(9.9 + PRIMARY_LEASE_SECONDS))
 
     def test_needs_both_lists_while_members_change(self) -> None:
         lease = Lease(View(members=members(3, start=2), previous=members(3)))
@@ -128,7 +128,7 @@
     def caught_up(self) -> bool:
         return self.caught and self.alive
 
-    def held_off(self) -> bool:
+    def in_rejoin_backoff(self) -> bool:
         return self.off
 
 
@@ -142,7 +142,7 @@
         self.leader = self.members[0]
 
     def _target(self, decided: bool = True) -> View:
-        situation = Situation(self.leader, Tolerance(machines=1), self.backups, self.counted)
+        situation = ViewInputs(self.leader, Tolerance(machines=1), self.backups, self.counted)
         return target_view(situation, self.view, decided)
 
     def _learner(self, name: str, zone: str = "z9", bootstrap: bool = False) -> None:
@@ -261,7 +261,7 @@
         self.leader = self.members[1]
 
     def test_wants_learners_only_where_one_could_become_a_member(self) -> None:
-        situation = Situation(self.members[0], Tolerance(machines=1), self.backups, self.counted)
+        situation = ViewInputs(self.members[0], Tolerance(machines=1), self.backups, self.counted)
         self.assertFalse(wants_learners(situation, self.view))
         self.backups["m1"].gone = True
         self.assertTrue(wants_learners(situation, self.view))
--- a/tests/system/test_replication.py
+++ b/tests/system/test_replication.py
@@ -449,7 +449,7 @@
         assert primary is not None
         view = cluster.view()
         primary._proposed.append(structs.replace(view, epoch=view.epoch + 1, in_sync=["n0", "n1", "n2"]))
-        primary._count_on()
+        primary._update_commit_members()
         self.assertFalse(client.write_and_wait("n0", 1.0))
         cluster.start("n2")
         cluster.await_in_sync({"n0", "n1", "n2"}, 4.0)
--- a/tests/system/test_views.py
+++ b/tests/system/test_views.py
@@ -5,7 +5,7 @@
 import unittest
 
 from pipitledge.replication.records import decode_epochs
-from pipitledge.replication.timing import LEASE_PROMISED_SECONDS
+from pipitledge.replication.timing import MEMBER_LEASE_SECONDS
 from pipitledge.wire.messages import (
     HeartbeatReply,
 )
@@ -210,7 +210,7 @@
         probe = Probe(cluster)
         cluster.machines["n0"].power_off()
         cluster.machines["n2"].wipe()
-        cluster.world.run_for(LEASE_PROMISED_SECONDS)
+        cluster.world.run_for(MEMBER_LEASE_SECONDS)
         epoch = 10**8
         self.assertTrue(probe.prepare("n1", epoch).granted)
         cluster.start("n0")
--- a/tests/system/test_witness.py
+++ b/tests/system/test_witness.py
@@ -12,10 +12,10 @@
 from pipitledge.replication.election import takeover_view
 from pipitledge.replication.environment import Environment
 from pipitledge.replication.epochs import FIRST_ORDINARY_EPOCH
-from pipitledge.replication.proposal import Outcome, Proposal
+from pipitledge.replication.proposal import ProposalOutcome, Proposal
 from pipitledge.replication.quorum import Tolerance
 from pipitledge.replication.records import EpochRecord, InitialMembersRecord, decode_epochs
-from pipitledge.replication.timing import LEASE_PROMISED_SECONDS
+from pipitledge.replication.timing import MEMBER_LEASE_SECONDS
 from pipitledge.replication.witness import Witness
 from pipitledge.wire.messages import (
     Accepted,
@@ -68,7 +68,7 @@
         self.probe.prepare("n0", self.base + 9)
         self.cluster.machines["n0"].power_off()
         self.cluster.start("n0")
-        self.cluster.world.run_for(LEASE_PROMISED_SECONDS)
+        self.cluster.world.run_for(MEMBER_LEASE_SECONDS)
         self.assertEqual(self.probe.prepare("n0", self.base + 8).reason, "epoch")
         promise = self.probe.prepare("n0", self.base + 10)
         assert promise.accepted is not None
@@ -96,7 +96,7 @@
     def test_lease_bars_others_until_it_ran_out(self) -> None:
         self._give_lease(self.base)
         self.assertEqual(self.probe.prepare("n0", self.base + 2000).reason, "lease")
-        self.cluster.world.run_for(LEASE_PROMISED_SECONDS)
+        self.cluster.world.run_for(MEMBER_LEASE_SECONDS)
         self.assertTrue(self.probe.prepare("n0", self.base + 2000).granted)
 
     def test_lease_holder_may_go_on(self) -> None:
@@ -109,7 +109,7 @@
         self.cluster.machines["n0"].kill()
         self.cluster.start("n0")
         self.assertEqual(self.probe.prepare("n0", self.base + 2000).reason, "lease")
-        self.cluster.world.run_for(LEASE_PROMISED_SECONDS)
+        self.cluster.world.run_for(MEMBER_LEASE_SECONDS)
         self.assertTrue(self.probe.prepare("n0", self.base + 2000).granted)
 
     def test_refuses_lease_below_its_promise(self) -> None:
@@ -185,7 +185,7 @@
         self.assertTrue(self._append(self.base + 1, self.base + 1).accepted)
         self.cluster.machines["n0"].power_off()
         self.cluster.start("n0")
-        self.cluster.world.run_for(LEASE_PROMISED_SECONDS)
+        self.cluster.world.run_for(MEMBER_LEASE_SECONDS)
         self.assertEqual(self.probe.prepare("n0", self.base).reason, "epoch")
 
 
@@ -206,7 +206,7 @@
         for name in self.promises:
             self.world.machine(name).start(self._member)
         self.process = self.world.machine("n0").start(lambda process: None)
-        self.outcomes: list[Outcome] = []
+        self.outcomes: list[ProposalOutcome] = []
 
     def _member(self, process: Process) -> None:
         def promise(message: Prepare, reply: Callable[[Struct], None]) -> None:
--- a/tests/system/view_bugs.py
+++ b/tests/system/view_bugs.py
@@ -80,11 +80,11 @@
     ),
     Bug(
         "one answer gives lost promises back",
-        lambda: [mock.patch.object(amnesia, "meets_every_quorum", lambda _view, names: bool(names))],
+        lambda: [mock.patch.object(amnesia, "intersects_every_quorum", lambda _view, names: bool(names))],
     ),
     Bug("lower epochs are accepted", lambda: [mock.patch.object(Witness, "on_propose", _accepts_anything)]),
     Bug("half is a quorum", lambda: [mock.patch.object(quorum, "_is_majority", _half)], 4, 0, 134),
-    Bug("a new disk is taken for the old", lambda: [mock.patch.object(election, "holds_state", _in_set)]),
+    Bug("a new disk is taken for the old", lambda: [mock.patch.object(election, "is_in_sync", _in_set)]),
     Bug(
         "members change in one step",
         lambda: [mock.patch.object(view_model.target_view, "target_view", _without_joint_view)],
@@ -100,7 +100,7 @@
         "the lease binds nobody", lambda: [mock.patch.object(Witness, "_bound_by_lease", lambda _self: False)], 4, 0, 0
     ),
     Bug("a restart forgets the lease", lambda: [mock.patch.object(view_model, "Witness", _not_quiet)]),
-    Bug("all that answer join the set", lambda: [mock.patch.object(election, "_stays", lambda *_: True)], 4, 0, 27),
+    Bug("all that answer join the set", lambda: [mock.patch.object(election, "_remains_in_sync", lambda *_: True)], 4, 0, 27),
     Bug(
         "one that lacks entries joins the set",
         lambda: [mock.patch.object(view_model.BackupLook, "caught_up", lambda self: self.up)],
--- a/tests/system/whole_system_mutants.py
+++ b/tests/system/whole_system_mutants.py
@@ -104,7 +104,7 @@
 
 def _commit_without_backups() -> list[Any]:
     """An entry counts as committed once it is on the primary's own disk."""
-    return [mock.patch.object(Primary, "_held_by_all", lambda self: self._own_durable)]
+    return [mock.patch.object(Primary, "_durable_on_all", lambda self: self._own_durable)]
 
 
 def _repeats_unknown() -> list[Any]:
