--- a/pipitledge/emulator/cluster/view_model.py
+++ b/pipitledge/emulator/cluster/view_model.py
@@ -21,7 +21,7 @@
 from pipitledge.replication.amnesia import AmnesiaRecovery
 from pipitledge.replication.environment import Environment
 from pipitledge.replication.lease import Lease
-from pipitledge.replication.proposal import ProposalOutcome, Proposal
+from pipitledge.replication.proposal import Proposal, ProposalOutcome
 from pipitledge.replication.quorum import Tolerance
 from pipitledge.replication.records import EpochRecord, decode_epochs
 from pipitledge.replication.timing import PROPOSAL_TIMEOUT_SECONDS
--- a/pipitledge/replication/backup.py
+++ b/pipitledge/replication/backup.py
@@ -1,4 +1,4 @@
-"""The role of a backup: it takes entries from the primary, and has itself repaired where its state differs."""
+"""The backup role: accepts entries from the primary, and repairs its state where it differs from the primary's."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class _Repair(Struct):
-    """A repair under way: `copy` comes closer to the primary's state; this node's own state stays until the end."""
+    """A repair in progress: ranges of `copy` are replaced; the node's own state is replaced only at the end."""
 
     primary: str
     term: int
@@ -25,7 +25,7 @@
 
 
 class Backup:
-    """Follows whichever primary its witness obeys."""
+    """Follows any primary that the witness accepts."""
 
     def __init__(
         self,
@@ -33,29 +33,29 @@
         witness: Witness,
         store: StateStore,
         view: Callable[[], View | None],
-        on_primary_heard: Callable[[], None],
+        on_primary_contact: Callable[[], None],
     ) -> None:
-        """`view` gives the newest view known; `on_primary_heard` is called when one is obeyed."""
+        """`view` returns the newest view known; `on_primary_contact` is called for each append of a primary."""
         self._env = env
         self._witness = witness
         self._store = store
         self._view = view
-        self._on_primary_heard = on_primary_heard
+        self._on_primary_contact = on_primary_contact
         self._repair: _Repair | None = None
 
     @property
     def repairing(self) -> bool:
-        """Whether a repair is under way."""
+        """Whether a repair is in progress."""
         return self._repair is not None
 
     # ---- entries
 
     def on_append(self, message: Append, reply: Callable[[AppendReply], None]) -> None:
-        """Take entries that follow this node's own state; answer once they are on the disk."""
+        """Append entries that directly follow this node's state; reply once they are durable."""
         if not self._accepts_primary(message.epoch, message.term, message.primary):
             reply(self._refusal(diverged=False))
             return
-        self._on_primary_heard()
+        self._on_primary_contact()
         if Position(message.previous_term, message.previous_sequence) != self._store.position:
             reply(self._refusal(diverged=not message.entries))
             if not message.entries:
@@ -65,7 +65,7 @@
         followed = self._witness.promise_to_primary(message.epoch, message.primary)
         if message.entries:
             self._store.append(message.entries)
-        answer = self._answer(accepted=True)
+        answer = self._reply_message(accepted=True)
         self._when_durable(followed, lambda: reply(answer))
 
     def _accepts_primary(self, epoch: int, term: int, primary: str) -> bool:
@@ -75,13 +75,13 @@
             and self._witness.accepts_primary(epoch, term, primary)
         )
 
-    def _when_durable(self, promise_too: bool, action: Callable[[], None]) -> None:
-        if promise_too:
+    def _when_durable(self, with_promise: bool, action: Callable[[], None]) -> None:
+        if with_promise:
             self._witness.persist(lambda: self._store.when_durable(action))
         else:
             self._store.when_durable(action)
 
-    def _answer(self, accepted: bool, diverged: bool = False) -> AppendReply:
+    def _reply_message(self, accepted: bool, diverged: bool = False) -> AppendReply:
         position = self._store.position
         return AppendReply(
             accepted=accepted,
@@ -94,7 +94,7 @@
         )
 
     def _refusal(self, diverged: bool) -> AppendReply:
-        return self._answer(accepted=False, diverged=diverged)
+        return self._reply_message(accepted=False, diverged=diverged)
 
     # ---- repair
 
@@ -103,9 +103,9 @@
         if repair is None or repair.primary != primary or repair.term != term:
             repair = self._repair = _Repair(primary, term, self._store.map.fork())
         if not repair.running:
-            self._ask(repair)
+            self._request_ranges(repair)
 
-    def _ask(self, repair: _Repair) -> None:
+    def _request_ranges(self, repair: _Repair) -> None:
         if self._repair is not repair:
             return
         repair.running = True
@@ -122,9 +122,13 @@
         if self._repair is not repair:
             return
         if not isinstance(reply, RepairReply):
-            self._ask_later(repair)
+            self._retry_later(repair)
             return
-        if not reply.granted or reply.term != repair.term or not self._accepts_primary(reply.epoch, reply.term, repair.primary):
+        if (
+            not reply.granted
+            or reply.term != repair.term
+            or not self._accepts_primary(reply.epoch, reply.term, repair.primary)
+        ):
             self._repair = None
             return
         for content in reply.contents:
@@ -132,13 +136,13 @@
         if reply.complete:
             self._finish(repair, reply)
         else:
-            self._ask(repair)
+            self._request_ranges(repair)
 
-    def _ask_later(self, repair: _Repair) -> None:
-        """Try again a little later, unless the primary's next probe does so first."""
+    def _retry_later(self, repair: _Repair) -> None:
+        """Request again after `REPAIR_RETRY_SECONDS`, unless the primary's next probe has done so before."""
         repair.running = False
         when = self._env.clock.now() + REPAIR_RETRY_SECONDS
-        self._env.clock.at(when, lambda: None if repair.running else self._ask(repair))
+        self._env.clock.at(when, lambda: None if repair.running else self._request_ranges(repair))
 
     def _finish(self, repair: _Repair, reply: RepairReply) -> None:
         self._repair = None
--- a/pipitledge/replication/environment.py
+++ b/pipitledge/replication/environment.py
@@ -1,4 +1,4 @@
-"""What all parts of replication are given: the ports, and who this node is."""
+"""The dependencies that all parts of replication share: the ports, and the description of this node."""
 
 from __future__ import annotations
 
@@ -12,52 +12,52 @@
 
 
 class MembershipSource(Protocol):
-    """The part of membership that replication uses."""
+    """The part of cluster membership that replication uses."""
 
     def counted(self) -> list[NodeDescriptor]:
-        """The nodes known that hold replicated state."""
+        """The known nodes that vote and hold replicated state (`countsForQuorum`)."""
 
     @property
     def view(self) -> View | None:
-        """The highest decided view heard of."""
+        """The decided view of the highest epoch that gossip has delivered."""
 
     def offer_view(self, view: View) -> None:
-        """Take note of a decided view."""
+        """Pass on a decided view."""
 
 
 class EventLog(Protocol):
-    """Structured events."""
+    """Log of structured events."""
 
     def info(self, event: str, **fields: object) -> None:
-        """An ordinary event."""
+        """Log an event of normal operation."""
 
     def warning(self, event: str, **fields: object) -> None:
-        """An event that operators may want to look at."""
+        """Log an event that an operator may have to look at."""
 
 
 class NodeInfo(Protocol):
-    """This node, as its settings describe it."""
+    """This node as its settings describe it."""
 
     @property
     def name(self) -> str:
-        """Unique name."""
+        """Name, unique in the system."""
 
     @property
     def address(self) -> str:
-        """`ip:port` for the other nodes."""
+        """`ip:port` at which the other nodes reach this one."""
 
     @property
     def zone(self) -> str:
-        """Where it stands."""
+        """Zone (failure domain) of the machine."""
 
     @property
     def region(self) -> str:
-        """Where that zone lies."""
+        """Region of that zone."""
 
 
 @dataclass(frozen=True)
 class Environment:
-    """The ports and this node's own description."""
+    """The ports, and this node as a member."""
 
     clock: Clock
     network: Network
@@ -74,7 +74,7 @@
         return self.me.name
 
     def address_of(self, name: str, view: View | None) -> str:
-        """Where to reach a node; empty if nobody told."""
+        """Return a node's address from membership, else from `view`; empty if it is unknown."""
         for descriptor in self.membership.counted():
             if descriptor.name == name:
                 return descriptor.address
--- a/pipitledge/replication/epochs.py
+++ b/pipitledge/replication/epochs.py
@@ -1,7 +1,7 @@
-"""Epoch numbers: a round and a mark of the proposer, so that two proposers seldom choose the same.
+"""Epoch numbers: a round and a hash of the proposer's name, so that two proposers rarely choose the same epoch.
 
-Where they do, a member promises one epoch to one proposer only, so at most one of them gets a quorum.
-The first rounds are those of founding; any view that follows one founds nothing and has a later round.
+If they do, a member promises an epoch to one proposer only, so at most one of them gets a quorum.
+The lowest rounds are reserved for the first view, which bootstraps the system; all later views have higher rounds.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 
 def next_bootstrap_epoch(highest: int, proposer: str) -> int:
-    """An epoch above `highest` for a view that founds the system."""
+    """Return an epoch above `highest` for a first view, which bootstraps the system."""
     return _epoch(highest // EPOCHS_PER_ROUND + 1, proposer)
 
 
 def next_epoch(highest: int, proposer: str) -> int:
-    """An epoch above `highest` for any later view."""
+    """Return an epoch above `highest` for any later view."""
     return _epoch(max(highest // EPOCHS_PER_ROUND + 1, FIRST_ORDINARY_ROUND), proposer)
 
 
 def is_bootstrap_epoch(epoch: int) -> bool:
-    """Whether a view of that epoch founds the system."""
+    """Whether a view of this epoch bootstraps the system."""
     return 0 < epoch < FIRST_ORDINARY_EPOCH
--- a/pipitledge/replication/initial_members.py
+++ b/pipitledge/replication/initial_members.py
@@ -1,13 +1,13 @@
-"""Which counted nodes are the first members: decided once, by more than half of the seeds.
+"""The decision on the initial members: which voting nodes they are is decided once, by a majority of the seeds.
 
-Single-decree Paxos. The seeds that the settings of the first start name are its acceptors, and all processes of that
-start have the same ones. A list that more than half of them have accepted is decided: any later ballot is promised by
-a seed that accepted it, and proposes it again. So there is one list, whoever proposes, and all views that found the
-system have the same members; among these, quorums meet as in any other change of view.
+This is single-decree Paxos. The acceptors are the seeds named in the settings of the first start, which are the same
+for all processes. A list that a majority of the seeds has accepted is decided: any later ballot gets a promise from a
+seed that accepted the list, and proposes it again. So only one list can be decided, whichever node proposes, and all
+first views have the same members; among these members quorums intersect as in any other view change.
 
-A seed answers only if it started with the system and remembers what it has answered since: a counted one keeps it on
-its disk, another one in memory, and after a restart or the loss of its disk it takes no part (`bootstrap` is false
-then).
+A seed votes only if it took part in the first start and remembers everything it has answered since. A voting node keeps
+these answers on its disk, other seeds keep them in memory; after a restart without them, or the loss of its disk, a
+seed does not vote any more (`bootstrap` is false then).
 """
 
 from __future__ import annotations
@@ -33,27 +33,27 @@
     NodeDescriptor,
 )
 
-Persist = Callable[[Callable[[], None]], None]  # writes the record, then calls back
+Persist = Callable[[Callable[[], None]], None]  # makes the record durable, then calls back
 KnownMembers = Callable[[], list[Member]]
 
 
 class InitialMembersAcceptor:
-    """A seed's vote. Nothing is answered before the record it rests on is durable."""
+    """A seed as a Paxos acceptor; it answers only once its record is durable."""
 
     def __init__(self, address: str, record: InitialMembersRecord, persist: Persist, known: KnownMembers) -> None:
-        """`address` is this process's internal address; `known` lists counted nodes that started with the system."""
+        """`address` is this process's internal address; `known` returns the known voting nodes of the first start."""
         self._address = address
         self._record = record
         self._persist = persist
         self._known = known
 
     def register(self, handlers: Handlers) -> None:
-        """Answer proposers."""
+        """Register the handlers of the proposers' calls."""
         handlers.on_call(InitialPrepare, self.on_prepare)
         handlers.on_call(InitialPropose, self.on_propose)
 
     def on_prepare(self, message: InitialPrepare, reply: Callable[[InitialPromise], None]) -> None:
-        """Promise to take no lower ballot, and this one from nobody else."""
+        """First phase: promise to accept no lower ballot, and this ballot from no other proposer."""
         if not self._accepts_ballot(message.ballot, message.proposer):
             reply(InitialPromise(False, self._address, self._record.promised))
             return
@@ -63,7 +63,7 @@
         self._persist(lambda: reply(answer))
 
     def on_propose(self, message: InitialPropose, reply: Callable[[InitialAccepted], None]) -> None:
-        """Accept a list, unless a higher ballot is promised."""
+        """Second phase: accept a list unless a higher ballot has been promised."""
         if not self._accepts_ballot(message.ballot, message.proposer):
             reply(InitialAccepted(False, self._address, self._record.promised))
             return
@@ -85,14 +85,14 @@
 
 
 class InitialOutcome(Struct):
-    """How an attempt ended."""
+    """Result of one attempt."""
 
-    members: list[Member] = []  # the list decided; empty if this attempt did not see it decided
-    highest_ballot: int = 0  # that any seed told of
+    members: list[Member] = []  # the decided list; empty if this attempt did not get a decision
+    highest_ballot: int = 0  # highest ballot that any seed reported
 
 
 class InitialMembersProposal:
-    """One attempt to have the list decided, or to learn which list is."""
+    """One attempt to get a list decided, or to learn the list that is already decided."""
 
     def __init__(
         self,
@@ -103,7 +103,7 @@
         members: list[Member],
         on_done: Callable[[InitialOutcome], None],
     ) -> None:
-        """`acceptor` is this node's own, asked if the node is a seed; `members` are those that it knows itself."""
+        """`acceptor` is this node's own one, called if the node is a seed; `members` are the nodes it knows itself."""
         self._env = env
         self._acceptor = acceptor
         self._seeds = seeds
@@ -112,14 +112,14 @@
         self._on_done = on_done
         self._promises: dict[str, InitialPromise] = {}
         self._accepted: set[str] = set()
-        self._answered: set[str] = set()  # in this phase
+        self._answered: set[str] = set()  # seeds that have answered in the current phase
         self._proposed: list[Member] = []
         self._highest_ballot = 0
         self._ended = False
         self._timer: Timer | None = None
 
     def run(self) -> None:
-        """Send the first phase."""
+        """Start the first phase."""
         self._timer = self._env.clock.at(self._env.clock.now() + PROPOSAL_TIMEOUT_SECONDS, partial(self._finish, []))
         request = InitialPrepare(self._ballot, self._env.name)
         for seed in self._seeds:
@@ -154,12 +154,12 @@
             self._ask(seed, request, partial(self._on_accepted, seed))
 
     def _list_to_propose(self) -> list[Member]:
-        """The list accepted last, as it may be decided; else all nodes that this one or a seed knows."""
+        """Return the list of the highest accepted ballot, as it may be decided; else all known nodes."""
         latest = max(self._promises.values(), key=lambda promise: promise.accepted)
         if latest.accepted:
             return latest.members
-        told = [member for promise in self._promises.values() for member in promise.known]
-        by_name = {member.name: member for member in [*told, *self._members]}
+        reported = [member for promise in self._promises.values() for member in promise.known]
+        by_name = {member.name: member for member in [*reported, *self._members]}
         return sorted(by_name.values(), key=lambda member: member.name)
 
     def _on_accepted(self, seed: str, reply: Struct | None) -> None:
@@ -185,22 +185,25 @@
 
 
 def is_majority_of_seeds(answers: dict[str, InitialPromise] | set[str], seeds: list[str]) -> bool:
-    """Whether more than half of the seeds are among those that answered."""
+    """Whether a majority of the seeds is among those that answered."""
     return 2 * len(set(answers) & set(seeds)) > len(seeds)
 
 
 def next_ballot(highest: int, proposer: str) -> int:
-    """A ballot above `highest`; two proposers seldom choose the same, and a seed promises it to one only."""
+    """Return a ballot above `highest`. Proposers rarely choose the same one, and a seed promises it to only one."""
     return (highest // EPOCHS_PER_ROUND + 1) * EPOCHS_PER_ROUND + zlib.crc32(proposer.encode()) % EPOCHS_PER_ROUND
 
 
 def as_member(node: NodeDescriptor) -> Member:
-    """The node as a member whose disk is not known yet."""
+    """Return the node as a member whose disk is not known yet."""
     return Member(node.name, node.address, node.zone, node.region)
 
 
 def register_diskless_seed(handlers: Handlers, address: str, bootstrap: bool, membership: MembershipSource) -> None:
-    """Let a process that is not counted vote, if it started with the system; what it answers is kept in memory."""
+    """Let a seed that is not a voting node decide on the initial members; its record is kept in memory only.
+
+    It takes part only in the first start of the system (`bootstrap`).
+    """
 
     def known() -> list[Member]:
         return [as_member(node) for node in membership.counted() if node.bootstrap]
--- a/pipitledge/replication/lease.py
+++ b/pipitledge/replication/lease.py
@@ -1,4 +1,4 @@
-"""The primary's side of the lease: which members answered which heartbeat."""
+"""The primary's lease, computed from the heartbeats that members have answered."""
 
 from __future__ import annotations
 
@@ -8,33 +8,35 @@
 
 
 class Lease:
-    """Runs while a quorum of the members answered heartbeats that were sent a short time ago."""
+    """Valid while a quorum of the members has answered heartbeats sent within `PRIMARY_LEASE_SECONDS`."""
 
     def __init__(self, view: View) -> None:
-        """Nobody has answered."""
+        """No member has answered yet, so the lease is not held."""
         self._view = view
-        self._answered: dict[str, float] = {}  # name -> when the heartbeat was sent that it answered last
+        self._answered: dict[str, float] = {}  # member name -> sending time of the last heartbeat it answered
         self._until = 0.0
 
     def change_view(self, view: View) -> None:
-        """Count the members of another view; what they answered remains."""
+        """Use the members of another view; answers received so far still count."""
         self._view = view
-        self._count()
+        self._update_expiry()
 
     def answered(self, name: str, sent_at: float) -> None:
-        """A member answered the heartbeat sent then."""
+        """Record that a member answered the heartbeat sent at that time."""
         if sent_at > self._answered.get(name, 0.0):
             self._answered[name] = sent_at
-            self._count()
+            self._update_expiry()
 
     def held(self, now: float) -> bool:
-        """Whether no other node can have become primary."""
+        """Whether the lease is valid, so that no other node can have become primary."""
         return now < self._until
 
     @property
     def until(self) -> float:
-        """When it runs out unless more answers come."""
+        """Time at which the lease expires unless more answers arrive."""
         return self._until
 
-    def _count(self) -> None:
-        self._until = latest_quorum_time(self._view, self._answered, never=-PRIMARY_LEASE_SECONDS) + PRIMARY_LEASE_SECONDS
+    def _update_expiry(self) -> None:
+        self._until = (
+            latest_quorum_time(self._view, self._answered, never=-PRIMARY_LEASE_SECONDS) + PRIMARY_LEASE_SECONDS
+        )
--- a/pipitledge/replication/primary.py
+++ b/pipitledge/replication/primary.py
@@ -1,4 +1,4 @@
-"""The role of the primary: entries, their commit, the lease, and changes of its own view."""
+"""The primary role: appends and commits entries, renews the lease, and changes the view."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from pipitledge.replication.epochs import next_epoch
 from pipitledge.replication.interface import PrimaryService
 from pipitledge.replication.lease import Lease
-from pipitledge.replication.proposal import ProposalOutcome, Proposal
+from pipitledge.replication.proposal import Proposal, ProposalOutcome
 from pipitledge.replication.quorum import is_in_sync, member_of, voters
 from pipitledge.replication.store import StateStore
 from pipitledge.replication.stream import BackupStream
@@ -21,13 +21,13 @@
 from pipitledge.replication.timing import (
     DISK_STALL_SECONDS,
     HEARTBEAT_INTERVAL_SECONDS,
-    MAX_JOINING_LAG_ENTRIES,
-    LEASE_LOST_TIMEOUT_SECONDS,
-    VIEW_CHANGE_RETRY_SECONDS,
-    RELEASE_WAIT_SECONDS,
-    MAX_REPAIR_BYTES,
     HEARTBEATS_PER_VIEW,
     HEARTBEATS_WITH_NEW_VIEW,
+    LEASE_LOST_TIMEOUT_SECONDS,
+    MAX_JOINING_LAG_ENTRIES,
+    MAX_REPAIR_BYTES,
+    RELEASE_WAIT_SECONDS,
+    VIEW_CHANGE_RETRY_SECONDS,
 )
 from pipitledge.replication.witness import Witness
 from pipitledge.runtime.ports import Timer
@@ -44,27 +44,27 @@
     Write,
 )
 
-RELEASED = -1.0  # `sent_at` of a heartbeat that gives the lease back
+RELEASED = -1.0  # `sent_at` of a heartbeat that gives up the lease
 RELEASE_REPEATS = 3  # datagrams may be lost
 RELEASE_REPEAT_SECONDS = 0.03
 
 
 class _CommitCallback(Struct):
-    """A call that is due once an entry is committed."""
+    """A callback to run once an entry is committed."""
 
     sequence: int
     action: Callable[[], None]
 
 
 class PrimaryCallbacks(Struct):
-    """Whom the primary tells."""
+    """Callbacks of the primary to its replica."""
 
-    on_decided: Callable[[View], None]  # its own change of view is decided
-    on_ended: Callable[[str], None]  # it gives the role up, for that reason
+    on_decided: Callable[[View], None]  # a view change of this primary was decided
+    on_ended: Callable[[str], None]  # the primary gave up its role, with the reason
 
 
 class Primary:
-    """One term of office of this node."""
+    """This node as primary, for one term."""
 
     def __init__(
         self,
@@ -73,23 +73,23 @@
         store: StateStore,
         view: View,
         services: list[PrimaryService],
-        owner: PrimaryCallbacks,
+        callbacks: PrimaryCallbacks,
     ) -> None:
-        """`view` is decided, and this node leads it."""
+        """`view` is decided, and this node is its primary."""
         self._env = env
         self._witness = witness
         self._store = store
         self._view = view
         self._services = services
-        self._owner = owner
+        self._callbacks = callbacks
         self._lease = Lease(view)
         self._started_at = env.clock.now()
         self._lease_last_held_at = self._started_at
         self._streams: dict[str, BackupStream] = {}
-        self._proposed: list[View] = []  # changes of view whose outcome is not known
-        self._in_sync_suffices = False  # whether the in-sync set bears the faults to be tolerated
+        self._proposed: list[View] = []  # proposed views that may have been decided
+        self._in_sync_suffices = False  # whether the in-sync set satisfies the fault tolerance
         self._commit_members: list[Member] = []
-        self._joining: set[str] = set()  # backups that commits wait for already, so that they can be added
+        self._joining: set[str] = set()  # backups that commits already wait for, so that they can join
         self._own_durable = 0
         self._committed = 0
         self._first_sequence = 0
@@ -105,7 +105,7 @@
         self._ticked_at = self._started_at
         self._timer: Timer | None = None
 
-    # ---- as the services and the replica see it
+    # ---- interface for the services and the replica
 
     @property
     def view(self) -> View:
@@ -114,20 +114,20 @@
 
     @property
     def committed(self) -> int:
-        """Sequence of the last entry committed."""
+        """Sequence of the last committed entry."""
         return self._committed
 
     @property
     def started(self) -> bool:
-        """Whether the services run."""
+        """Whether the services have been activated."""
         return self._started
 
     def is_serving(self) -> bool:
-        """Whether it has started its duties and holds its lease now."""
+        """Whether the services are active and the lease is held, so that writes are accepted."""
         return self._started and self._releasing_until is None and self._lease.held(self._env.clock.now())
 
     def start(self) -> None:
-        """Write the first entry of the term, and let the others know."""
+        """Append the first entry of the term, and start the heartbeats."""
         self._update_commit_members()
         self._first_sequence = self._store.position.sequence + 1
         self._committed = self._store.position.sequence
@@ -135,7 +135,7 @@
         self._tick()
 
     def write(self, writes: list[Write], on_committed: Callable[[], None] | None) -> None:
-        """Append a batch."""
+        """Append a batch; `on_committed` is called once it is committed."""
         if not self._active or not self._started:
             return
         self._append(writes)
@@ -144,14 +144,14 @@
         self._advance()
 
     def after_commit(self, action: Callable[[], None]) -> None:
-        """Run `action` once all that was written so far is committed."""
+        """Run `action` once everything written so far is committed."""
         if not self._active or not self._started:
             return
         self._waiting.append(_CommitCallback(self._store.position.sequence, action))
         self._run_committed()
 
     def end(self) -> None:
-        """Stop acting, for good."""
+        """End this term: deactivate the services and drop all waiting callbacks."""
         if not self._active:
             return
         self._active = False
@@ -163,7 +163,7 @@
                 service.deactivated()
 
     def release(self) -> None:
-        """Stop in order: finish the writes under way, then give the lease back."""
+        """Stop gracefully: finish the writes in progress, then give up the lease."""
         if self._releasing_until is None:
             self._releasing_until = self._env.clock.now() + RELEASE_WAIT_SECONDS
             self._check_release()
@@ -183,7 +183,7 @@
             when = self._env.clock.now() + repeat * RELEASE_REPEAT_SECONDS
             self._env.clock.at(when, lambda: self._send_release(names))
         self._witness.release_lease(self._env.name)
-        self._owner.on_ended(reason)
+        self._callbacks.on_ended(reason)
 
     def _send_release(self, names: list[str]) -> None:
         for name in names:
@@ -208,13 +208,13 @@
             stream.send_next()
 
     def on_backup_advanced(self) -> None:
-        """A backup holds more, or holds it on another disk."""
+        """Commit what has become durable on all required disks, as a backup has advanced or changed its disk."""
         self._advance()
         if self._active and self._joining:
             self._reconcile()
 
     def _advance(self) -> None:
-        """Commit what every node of the set has on its disk."""
+        """Commit the entries that are durable on all members that commits wait for."""
         if not self._active:
             return
         self._committed = max(self._committed, self._durable_on_all())
@@ -222,30 +222,30 @@
         self._check_release()
 
     def _run_committed(self) -> None:
-        """Do what was waiting for entries to be committed, while no other node can be primary."""
+        """Run the callbacks of committed entries, but only while the lease excludes another primary."""
         if self._active and self._lease.held(self._env.clock.now()):
             self._start_services()
             self._run_commit_callbacks()
 
     def _durable_on_all(self) -> int:
-        """The last sequence that is on the disks of all that the view, or one that may replace it, relies on."""
+        """Return the last sequence durable in the in-sync sets of the view and of all views that may replace it."""
         if not self._in_sync_suffices:
             return 0
-        held = self._own_durable
+        durable = self._own_durable
         for member in self._commit_members:
-            held = min(held, self._durable_on(member))
+            durable = min(durable, self._durable_on(member))
         for name in self._joining:
-            held = min(held, self._streams[name].durable)
-        return held
+            durable = min(durable, self._streams[name].durable)
+        return durable
 
     def _durable_on(self, member: Member) -> int:
         stream = self._streams.get(member.name)
-        if stream is None or not stream.confirmed or stream.disk_id != member.disk_id:
+        if stream is None or not stream.history_confirmed or stream.disk_id != member.disk_id:
             return 0
         return stream.durable
 
     def _update_commit_members(self) -> None:
-        """Work out whose disks commits wait for, after the view or the changes proposed are others."""
+        """Update the members that commits wait for; called when the view or the proposed views have changed."""
         self._in_sync_suffices = self._env.tolerance.satisfied_by(self._view.in_sync, self._view.members)
         self._commit_members = [
             member
@@ -288,14 +288,14 @@
         self._check_health(now)
         if self._active:
             self._reconcile()
-            self._advance()  # a node that was waited for may have left
+            self._advance()  # commits may no longer wait for a member that was removed
 
     def _reset_stream_timeouts(self) -> None:
         for stream in self._streams.values():
             stream.reset_timeouts()
 
     def _update_streams(self) -> None:
-        """One stream for each member, and for each counted node that is not one."""
+        """Keep one stream for each member and for each other voting node, which may become a member."""
         names = [member.name for member in voters(self._view)]
         names += [member.name for view in self._proposed for member in voters(view)]
         names += [node.name for node in self._env.membership.counted()]
@@ -329,7 +329,7 @@
                 message.view = self._view
             self._env.network.datagram(self._env.address_of(stream.name, self._view), message)
             stream.send_next()
-            stream.check()
+            stream.check_over_tcp()
 
     def _heartbeat_carries_view(self, stream: BackupStream) -> bool:
         count = stream.heartbeats_since_view
@@ -337,7 +337,7 @@
         return count < HEARTBEATS_WITH_NEW_VIEW or count % HEARTBEATS_PER_VIEW == 0
 
     def on_heartbeat_reply(self, message: HeartbeatReply) -> None:
-        """A member granted the lease, or told of a higher epoch."""
+        """Count a member's answer for the lease, or record the higher epoch that it reports."""
         stream = self._streams.get(message.name)
         if stream is None or not self._active:
             return
@@ -349,11 +349,11 @@
         stream.on_heartbeat_reply(message)
 
     def _sent_in_this_term(self, reply: HeartbeatReply) -> bool:
-        """Whether the heartbeat answered is one of this term, and not of an earlier life, maybe on another clock."""
+        """Whether the answered heartbeat belongs to this term, and not to an earlier process with another clock."""
         return reply.epoch >= self._view.term and self._started_at <= reply.sent_at <= self._env.clock.now()
 
     def on_higher_epoch(self, epoch: int) -> None:
-        """A node promised a higher epoch: unless another primary shows up, this one renews its view above it."""
+        """Record that a node promised a higher epoch; unless another primary appears, a view above it is proposed."""
         if epoch > self._highest_seen_epoch:
             self._highest_seen_epoch = epoch
             self._delay_view_change()
@@ -366,18 +366,18 @@
         if self._lease.held(now):
             self._lease_last_held_at = now
         elif now - self._lease_last_held_at > LEASE_LOST_TIMEOUT_SECONDS:
-            self._owner.on_ended("lease lost")
+            self._callbacks.on_ended("lease lost")
         if self._active and self._store.stalled_for() > DISK_STALL_SECONDS and self._has_successor():
             self._release_lease("disk stalled")
 
     def _has_successor(self) -> bool:
-        """Whether another node could lead."""
+        """Whether another node could become primary."""
         return any(
             stream.responsive() and not stream.amnesiac and is_in_sync(self._view, stream.name, stream.disk_id)
             for stream in self._streams.values()
         )
 
-    # ---- changes of view
+    # ---- view changes
 
     def _view_inputs(self) -> ViewInputs:
         return ViewInputs(
@@ -388,7 +388,7 @@
         )
 
     def _reconcile(self) -> None:
-        """Start a change of view if the backups call for one."""
+        """Start a view change if the target view differs from the current one, or a higher epoch was seen."""
         now = self._env.clock.now()
         self._update_joining(now)
         if self._proposing or now < self._next_change_at or self._releasing_until is not None:
@@ -437,15 +437,17 @@
             return
         self._env.log.info("view_not_changed", epoch=self._view.epoch, reason=outcome.reason)
         self._delay_view_change()
-        self._highest_seen_epoch = max(self._highest_seen_epoch, outcome.highest_epoch if outcome.latest is not None else 0)
+        self._highest_seen_epoch = max(
+            self._highest_seen_epoch, outcome.highest_epoch if outcome.latest is not None else 0
+        )
         if self._superseded:
-            self._owner.on_ended("another primary may have been elected")
+            self._callbacks.on_ended("another primary may have been elected")
 
     def _apply_view(self, view: View) -> None:
-        """The change is decided."""
+        """Switch to a view that was decided."""
         for name in set(self._view.in_sync) - set(view.in_sync):
             if name in self._streams:
-                self._streams[name].left()
+                self._streams[name].on_removed()
         self._view = view
         self._proposed.clear()
         self._update_commit_members()
@@ -454,7 +456,7 @@
         for stream in self._streams.values():
             stream.heartbeats_since_view = 0
         self._next_change_at = self._env.clock.now()
-        self._owner.on_decided(view)
+        self._callbacks.on_decided(view)
         self._send_heartbeats(self._env.clock.now())
         self._update_joining(self._env.clock.now())
         self._advance()
@@ -462,7 +464,7 @@
     # ---- repair
 
     def repair(self, message: RepairRequest) -> RepairReply:
-        """The ranges in which a backup differs."""
+        """Return the ranges that differ from the backup's digests, up to about `MAX_REPAIR_BYTES`."""
         contents: list[RangeContent] = []
         differing = self._store.map.differing(message.digests)
         size = 0
--- a/pipitledge/replication/records.py
+++ b/pipitledge/replication/records.py
@@ -1,4 +1,4 @@
-"""What a counted node keeps on disk: the epoch record, and state as a snapshot and a log of batches of entries."""
+"""Records that a voting node keeps on disk: its epoch record, and the state as a snapshot and a log of batches."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 
 class InitialMembersRecord(Struct):
-    """What a seed promised and accepted of the list of first members."""
+    """Promises and accepted list of a seed in the decision on the initial members."""
 
-    takes_part: bool = False  # started with the system, and has forgotten nothing since
-    seeds: list[str] = []  # internal addresses, as the settings of the first start named them
+    takes_part: bool = False  # the seed took part in the first start of the system and has lost no record since
+    seeds: list[str] = []  # internal addresses from the settings of the first start
     promised: int = 0  # highest ballot promised
     promised_to: str = ""  # its proposer
-    accepted: int = 0  # ballot of the list accepted last; 0 if none
-    members: list[Member] = []  # that list
+    accepted: int = 0  # ballot of the last accepted list; 0 if none
+    members: list[Member] = []  # the last accepted list
 
 
 class EpochRecord(Struct):
-    """Promises of one member; written before any answer that rests on it."""
+    """Promises and accepted view of one member; made durable before any answer that depends on it is sent."""
 
     promised: int = 0  # highest epoch promised
     promised_to: str = ""  # its proposer
     accepted: View | None = None  # the view of the highest epoch accepted
-    disk_id: int = 0  # drawn when the disk was formatted
-    amnesiac: bool = False  # the disk that held earlier promises is gone, and they are not recovered yet
-    original: bool = False  # started with the system, and no view has taken this node in yet
+    disk_id: int = 0  # random number, drawn when the disk is formatted
+    amnesiac: bool = False  # earlier promises were lost with a disk and are not recovered yet
+    original: bool = False  # the node took part in the first start, and no view has had it as a member yet
     initial: InitialMembersRecord = msgspec.field(default_factory=InitialMembersRecord)
 
 
 class Snapshot(Struct):
-    """All replicated state after the entry (term, sequence)."""
+    """The whole replicated state after the entry (term, sequence)."""
 
     term: int = 0
     sequence: int = 0
@@ -43,19 +43,19 @@
 
 
 class RecoveredDisk(Protocol):
-    """What a disk held when the process started."""
+    """Contents of the disk when the process started."""
 
     @property
     def epochs(self) -> bytes | None:
-        """The last epoch record."""
+        """The last epoch record; None on an empty disk."""
 
     @property
     def snapshot(self) -> bytes | None:
-        """The last snapshot."""
+        """The last snapshot; None if none was written."""
 
     @property
     def entries(self) -> list[bytes]:
-        """The records appended since."""
+        """Log records appended since the snapshot."""
 
     @property
     def fresh(self) -> bool:
@@ -69,30 +69,30 @@
 
 
 def encode_epochs(record: EpochRecord) -> bytes:
-    """Bytes of an epoch record."""
+    """Encode an epoch record."""
     return _encoder.encode(record)
 
 
 def decode_epochs(data: bytes) -> EpochRecord:
-    """The epoch record in `data`."""
+    """Decode an epoch record."""
     return _epochs_decoder.decode(data)
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """Bytes of a snapshot."""
+    """Encode a snapshot."""
     return _encoder.encode(snapshot)
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """The snapshot in `data`."""
+    """Decode a snapshot."""
     return _snapshot_decoder.decode(data)
 
 
 def encode_entries(entries: list[Entry]) -> bytes:
-    """Bytes of one log record: entries appended together."""
+    """Encode one log record, which holds the entries that were appended together."""
     return _encoder.encode(entries)
 
 
 def decode_entries(data: bytes) -> list[Entry]:
-    """The entries in one log record."""
+    """Decode the entries of one log record."""
     return _entries_decoder.decode(data)
--- a/pipitledge/replication/replica.py
+++ b/pipitledge/replication/replica.py
@@ -1,4 +1,4 @@
-"""One counted node's part in replication: the class that a program uses."""
+"""A replica: one voting node's part in replication, and the class that the programs use."""
 
 from __future__ import annotations
 
@@ -10,24 +10,28 @@
 
 from pipitledge.replication.amnesia import AmnesiaRecovery
 from pipitledge.replication.backup import Backup
+from pipitledge.replication.bootstrap import Bootstrap, bootstrap_view
 from pipitledge.replication.election import Election, takeover_view
 from pipitledge.replication.environment import Environment, EventLog, MembershipSource, NodeInfo
-from pipitledge.replication.epochs import next_epoch, next_bootstrap_epoch
-from pipitledge.replication.bootstrap import Bootstrap, bootstrap_view
+from pipitledge.replication.epochs import next_bootstrap_epoch, next_epoch
 from pipitledge.replication.initial_members import (
     InitialMembersAcceptor,
     InitialMembersProposal,
     InitialOutcome,
     next_ballot,
 )
-from pipitledge.replication.view_discovery import ViewDiscovery
 from pipitledge.replication.interface import PrimaryService
 from pipitledge.replication.primary import RELEASED, Primary, PrimaryCallbacks
-from pipitledge.replication.proposal import DeriveView, ProposalOutcome, Proposal
+from pipitledge.replication.proposal import DeriveView, Proposal, ProposalOutcome
 from pipitledge.replication.quorum import Tolerance, is_in_sync, member_of
 from pipitledge.replication.records import EpochRecord, InitialMembersRecord, RecoveredDisk, decode_epochs
 from pipitledge.replication.store import StateStore
-from pipitledge.replication.timing import STEP_DOWN_COOLDOWN_SECONDS, BOOTSTRAP_PROMISE_GRACE_SECONDS, PROMISE_GRACE_SECONDS
+from pipitledge.replication.timing import (
+    BOOTSTRAP_PROMISE_GRACE_SECONDS,
+    PROMISE_GRACE_SECONDS,
+    STEP_DOWN_COOLDOWN_SECONDS,
+)
+from pipitledge.replication.view_discovery import ViewDiscovery
 from pipitledge.replication.witness import Witness
 from pipitledge.runtime.handlers import Handlers
 from pipitledge.runtime.ports import Clock, Disk, Network
@@ -57,7 +61,7 @@
 
 
 class Replica:
-    """Votes on views, follows the primary, and leads when it is elected. Implements `Replicator`."""
+    """Votes on views, follows the primary, and becomes primary when it is elected. Implements `Replicator`."""
 
     def __init__(
         self,
@@ -75,10 +79,10 @@
         seeds: Sequence[str] = (),
         may_bootstrap: Callable[[], bool] = lambda: True,
     ) -> None:
-        """`recovered` is what `disk` held; `may_found` holds the founding of the system up while it is False.
+        """`recovered` is the content of `disk`; the system is not bootstrapped while `may_bootstrap` returns False.
 
-        `seeds` are the internal addresses of all seeds, this node's own among them if it is one; more than half of
-        those of the first start decide who the first members are. Where none is named, this node alone does.
+        `seeds` are the internal addresses of all seeds, including this node if it is one; a majority of the seeds of
+        the first start decides on the initial members. Without any seeds this node alone decides.
         """
         record, restarted = _load_or_create_record(recovered, bootstrap, random, seeds or [me.address])
         member = Member(me.name, me.address, me.zone, me.region, record.disk_id)
@@ -86,24 +90,26 @@
         self._services = services
         self._witness = Witness(self._env, record, restarted)
         self._initial_seeds = record.initial.seeds
-        self._initial_members: list[Member] = []  # once decided
-        self._highest_ballot = record.initial.promised  # that any seed told of
+        self._initial_members: list[Member] = []  # empty until they are decided
+        self._highest_ballot = record.initial.promised  # highest ballot that any seed reported
         self._acceptor = InitialMembersAcceptor(
-            me.address, record.initial, self._witness.persist, lambda: self._bootstrap.known()
+            me.address, record.initial, self._witness.persist, lambda: self._bootstrap.known_members()
         )
         self._store = StateStore(self._env, recovered)
         self._view: View | None = None
         self._primary: Primary | None = None
         self._proposing = False
-        self._highest_epoch = 0  # that any node told of
-        self._backup = Backup(self._env, self._witness, self._store, self._known_view, self._on_primary_heard)
-        self._view_discovery = ViewDiscovery(self._env, self._latest)
-        self._election = Election(self._env, self._witness, self._latest, self._view_discovery, self._propose_takeover)
-        self._amnesia = AmnesiaRecovery(self._env, self._witness, self._latest, lambda: self.view)
+        self._highest_epoch = 0  # highest epoch that any node reported
+        self._backup = Backup(self._env, self._witness, self._store, self._newest_known_view, self._on_primary_contact)
+        self._view_discovery = ViewDiscovery(self._env, self._latest_view)
+        self._election = Election(
+            self._env, self._witness, self._latest_view, self._view_discovery, self._propose_takeover
+        )
+        self._amnesia = AmnesiaRecovery(self._env, self._witness, self._latest_view, lambda: self.view)
         self._bootstrap = Bootstrap(self._env, self._is_bootstrapped, may_bootstrap, self._propose_bootstrap)
 
     def start(self) -> None:
-        """Begin; all handlers have to be registered."""
+        """Start timers and recovery; call `register` first."""
         self._witness.persist(lambda: None)
         if self._witness.amnesiac:
             self._amnesia.start()
@@ -112,7 +118,7 @@
         self._election.start()
 
     def register(self, handlers: Handlers) -> None:
-        """Answer the messages of replication."""
+        """Register the handlers of all replication messages."""
         handlers.on_datagram(Heartbeat, self._on_heartbeat)
         handlers.on_datagram(HeartbeatReply, self._on_heartbeat_reply)
         handlers.on_call(Prepare, self._on_prepare)
@@ -125,14 +131,14 @@
         handlers.on_call(RepairRequest, self._on_repair_request)
 
     def step_down(self) -> None:
-        """A planned stop: lead no longer, let a backup take over at once."""
+        """Prepare a planned stop: give up the primary role, so that a backup takes over at once."""
         self._election.retired = True
         self._witness.leaving = True
         if self._primary is not None:
             self._primary.release()
 
     def is_in_sync_member(self) -> bool:
-        """Whether this node is still of the in-sync set, so far as it knows: what it holds may not be elsewhere yet."""
+        """Whether this node is in the in-sync set of the latest known view, so that its data may still be needed."""
         return is_in_sync(self.view, self._env.name, self._env.me.disk_id)
 
     # ---- Replicator
@@ -151,25 +157,25 @@
 
     @property
     def awaits_bootstrap(self) -> bool:
-        """Whether this node started with the system and is no member yet; its descriptor says so as `bootstrap`."""
+        """Whether this node took part in the first start and is no member yet; published as `bootstrap`."""
         return self._witness.original
 
     def is_primary(self) -> bool:
-        """Whether this node leads, has started its duties and holds its lease."""
+        """Whether this node is primary, has activated its services and holds its lease."""
         return self._primary is not None and self._primary.is_serving()
 
     def write(self, writes: list[Write], on_committed: Callable[[], None] | None = None) -> None:
-        """Append a batch; ignored unless this node leads."""
+        """Append a batch; ignored unless this node is primary."""
         if self._primary is not None:
             self._primary.write(writes, on_committed)
 
     def after_commit(self, action: Callable[[], None]) -> None:
-        """Run `action` once all that was written so far is committed; never if the role is lost before."""
+        """Run `action` once everything written so far is committed; never if the role is lost before."""
         if self._primary is not None:
             self._primary.after_commit(action)
 
     def status(self) -> dict[str, object]:
-        """What operators may want to see."""
+        """Return the status section for operators."""
         view = self.view
         position = self._store.position
         return {
@@ -194,14 +200,14 @@
 
     # ---- views
 
-    def _known_view(self) -> View | None:
+    def _newest_known_view(self) -> View | None:
         return self._view
 
-    def _latest(self) -> View | None:
-        """The view of the highest epoch that this node knows or has accepted; at the founding, that it heard of."""
+    def _latest_view(self) -> View | None:
+        """Return the known or accepted view of the highest epoch; before the first one, a view reported by others."""
         self._learn_from_membership()
         views = [view for view in (self._view, self._witness.accepted) if view is not None]
-        return max(views, key=lambda view: view.epoch, default=self._view_discovery.heard)
+        return max(views, key=lambda view: view.epoch, default=self._view_discovery.discovered)
 
     def _learn_from_membership(self) -> None:
         view = self._env.membership.view
@@ -209,13 +215,13 @@
             self._learn(view)
 
     def _learn(self, view: View) -> None:
-        """A view is known to be decided."""
+        """Switch to a view that is known to be decided, unless a later one is known."""
         if self._view is not None and view.epoch <= self._view.epoch:
             return
         self._view = view
         self._highest_epoch = max(self._highest_epoch, view.epoch)
         self._witness.learn(view)
-        self._election.heard()
+        self._election.reset_timer()
         self._env.membership.offer_view(view)
         self._env.log.info(
             "view", epoch=view.epoch, term=view.term, primary=view.primary, in_sync=",".join(view.in_sync)
@@ -224,19 +230,19 @@
             self._end_primary("another primary was elected")
 
     def _is_bootstrapped(self) -> bool:
-        return self._latest() is not None
+        return self._latest_view() is not None
 
     # ---- proposals
 
     def _propose_takeover(self) -> None:
-        latest = self._latest()
+        latest = self._latest_view()
         if self._primary is not None or latest is None:
             return
         epoch = next_epoch(max(self._witness.promised, latest.epoch, self._highest_epoch), self._env.name)
-        self._propose(epoch, latest, partial(takeover_view, self._env, epoch), self._election.failed)
+        self._propose(epoch, latest, partial(takeover_view, self._env, epoch), self._election.on_failed)
 
     def _propose_bootstrap(self, known: list[Member]) -> None:
-        """Have the first members decided, then a view of just these."""
+        """Get the initial members decided, then propose a first view with exactly these members."""
         if self._proposing:
             return
         if self._initial_members:
@@ -257,14 +263,14 @@
         self._propose_first_view()
 
     def _propose_first_view(self) -> None:
-        """Propose the first view if the members are decided and this node is one; else leave it to those that are."""
+        """Propose the first view if this node is one of the decided initial members; else leave it to them."""
         start = View(members=self._initial_members)
         if member_of(start, self._env.name) is None:
-            self._bootstrap.failed()
+            self._bootstrap.on_failed()
             return
         epoch = next_bootstrap_epoch(max(self._witness.promised, self._highest_epoch), self._env.name)
         derive = partial(bootstrap_view, self._env, epoch, start)
-        self._propose(epoch, start, derive, self._bootstrap.failed, BOOTSTRAP_PROMISE_GRACE_SECONDS)
+        self._propose(epoch, start, derive, self._bootstrap.on_failed, BOOTSTRAP_PROMISE_GRACE_SECONDS)
 
     def _propose(
         self,
@@ -284,7 +290,7 @@
         self._proposing = False
         self._highest_epoch = max(self._highest_epoch, outcome.highest_epoch)
         if outcome.decided is None:
-            self._view_discovery.note(outcome.latest)
+            self._view_discovery.record_view(outcome.latest)
             self._env.log.info("not_elected", reason=outcome.reason, highest=outcome.highest_epoch)
             on_failed()
             return
@@ -293,8 +299,8 @@
             self._become_primary(outcome.decided)
 
     def _become_primary(self, view: View) -> None:
-        owner = PrimaryCallbacks(on_decided=self._learn, on_ended=self._end_primary)
-        self._primary = Primary(self._env, self._witness, self._store, view, self._services, owner)
+        callbacks = PrimaryCallbacks(on_decided=self._learn, on_ended=self._end_primary)
+        self._primary = Primary(self._env, self._witness, self._store, view, self._services, callbacks)
         self._primary.start()
         if self._election.retired:
             self._primary.release()
@@ -304,16 +310,16 @@
         if primary is None:
             return
         self._env.log.warning("primary_ended", term=primary.view.term, reason=reason)
-        self._election.heard()
+        self._election.reset_timer()
         if reason == "disk stalled":
-            self._election.hold_off(STEP_DOWN_COOLDOWN_SECONDS)
+            self._election.back_off(STEP_DOWN_COOLDOWN_SECONDS)
         primary.end()
 
     # ---- messages
 
-    def _on_primary_heard(self) -> None:
-        """Another primary is obeyed."""
-        self._election.heard()
+    def _on_primary_contact(self) -> None:
+        """Reset the election timer, as another primary is active, and give up the primary role."""
+        self._election.reset_timer()
         if self._primary is not None:
             self._end_primary("another primary leads")
 
@@ -329,14 +335,14 @@
             and self._witness.accepts_primary(message.epoch, message.term, message.primary)
         )
         if granted:
-            self._on_primary_heard()
+            self._on_primary_contact()
             self._witness.grant_lease(message.primary)
         self._answer_heartbeat(message, granted)
 
     def _on_release(self, message: Heartbeat) -> None:
         if self._witness.accepts_primary(message.epoch, message.term, message.primary):
             self._witness.release_lease(message.primary)
-            self._election.released()
+            self._election.on_lease_released()
 
     def _answer_heartbeat(self, message: Heartbeat, granted: bool) -> None:
         position = self._store.position
@@ -374,7 +380,7 @@
 
     def _after_acceptance(self, reply: Callable[[Struct], None], accepted: Accepted) -> None:
         if accepted.granted:
-            self._election.heard()
+            self._election.reset_timer()
         reply(accepted)
 
     def _on_epoch_query(self, message: EpochQuery, reply: Callable[[EpochReply], None]) -> None:
@@ -402,7 +408,7 @@
     def _on_recovery_order(self, message: RecoveryOrder, reply: Callable[[RecoveryAnswer], None]) -> None:
         view = message.view
         if self._primary is not None:
-            reply(RecoveryAnswer(False, self._env.name, "it leads"))
+            reply(RecoveryAnswer(False, self._env.name, "it is the primary"))
             return
         self._env.log.warning("recovery_by_hand", epoch=view.epoch, primary=view.primary)
 
@@ -424,7 +430,7 @@
 def _load_or_create_record(
     recovered: RecoveredDisk, bootstrap: bool, random: Random, seeds: Sequence[str]
 ) -> tuple[EpochRecord, bool]:
-    """The epoch record to go on from, and whether an earlier life may have made promises."""
+    """Return the epoch record to continue from, and whether an earlier process may have made promises."""
     if recovered.epochs is not None:
         return decode_epochs(recovered.epochs), True
     disk_id = random.getrandbits(DISK_ID_BITS) + 1
--- a/pipitledge/replication/state_map.py
+++ b/pipitledge/replication/state_map.py
@@ -1,4 +1,4 @@
-"""The replicated map, cut into ranges whose digests are kept up to date as keys change."""
+"""The replicated key-value map, divided into hash ranges with incrementally updated digests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def range_of(key: str) -> int:
-    """The range that a key belongs to."""
+    """Return the index of the range that a key belongs to."""
     return zlib.crc32(key.encode()) % RANGE_COUNT
 
 
@@ -22,7 +22,7 @@
 
 
 class StateMap:
-    """Keys and values. The digest of a range is the XOR of its pairs' hashes, so order does not matter."""
+    """Keys and values. The digest of a range is the XOR of its pairs' hashes, so the order of writes is irrelevant."""
 
     def __init__(self) -> None:
         """An empty map."""
@@ -30,23 +30,23 @@
         self._digests = [0] * RANGE_COUNT
 
     def fork(self) -> StateMap:
-        """A copy to be changed by `replace_range` alone; it shares the ranges that are not replaced."""
+        """Return a copy that may be changed only by `replace_range`; it shares the ranges that are not replaced."""
         copy = StateMap()
         copy._ranges = list(self._ranges)
         copy._digests = list(self._digests)
         return copy
 
     def get(self, key: str) -> bytes | None:
-        """The value of `key`."""
+        """Return the value of `key`; None if the key does not exist."""
         return self._ranges[range_of(key)].get(key)
 
     def items(self) -> Iterator[tuple[str, bytes]]:
-        """All keys and values."""
+        """Iterate over all keys and values."""
         for content in self._ranges:
             yield from content.items()
 
     def as_dict(self) -> dict[str, bytes]:
-        """All keys and values, in a map of their own."""
+        """Return all keys and values as a new dict."""
         return dict(self.items())
 
     def __len__(self) -> int:
@@ -54,14 +54,14 @@
         return sum(len(content) for content in self._ranges)
 
     def load(self, pairs: Iterable[tuple[str, bytes]]) -> None:
-        """Add keys that are not there yet."""
+        """Add keys that do not exist yet."""
         for key, value in pairs:
             index = range_of(key)
             self._ranges[index][key] = value
             self._digests[index] ^= _digest(key, value)
 
     def apply(self, writes: list[Write]) -> None:
-        """Carry out a batch."""
+        """Apply a batch of writes."""
         for write in writes:
             self._apply_one(write)
 
@@ -76,7 +76,7 @@
             self._digests[index] ^= _digest(write.key, write.value)
 
     def digests(self) -> list[RangeDigest]:
-        """Digests of all ranges that hold keys."""
+        """Return the digests of all ranges that are not empty."""
         return [
             RangeDigest(range=index, digest=self._digests[index], keys=len(content))
             for index, content in enumerate(self._ranges)
@@ -84,7 +84,7 @@
         ]
 
     def differing(self, digests: list[RangeDigest]) -> list[int]:
-        """Ranges that differ from those that `digests` were made of."""
+        """Return the indexes of the ranges whose digest or number of keys differs from `digests`."""
         theirs = {digest.range: (digest.digest, digest.keys) for digest in digests}
         return [
             index
@@ -93,12 +93,12 @@
         ]
 
     def content_of(self, index: int) -> RangeContent:
-        """All keys of one range."""
+        """Return all keys and values of one range."""
         pairs = self._ranges[index].items()
         return RangeContent(range=index, writes=[Write(key=key, value=value) for key, value in pairs])
 
     def replace_range(self, content: RangeContent) -> None:
-        """Make one range hold those keys and no others."""
+        """Replace all keys of one range."""
         fresh: dict[str, bytes] = {}
         digest = 0
         for write in content.writes:
--- a/pipitledge/replication/store.py
+++ b/pipitledge/replication/store.py
@@ -1,4 +1,4 @@
-"""Replicated state of this node: the map in memory, the recent log, and their way to the disk."""
+"""Replicated state of this node: the map in memory, the recent log, and the writes to disk."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 
 class _PendingWrite(Struct):
-    """A write that the disk has not confirmed."""
+    """A write that is not durable yet."""
 
     number: int
-    at: float
+    submitted_at: float
 
 
 class StateStore:
-    """State as of `position`; what is applied is also on its way to the disk, in order."""
+    """State as of `position`; every entry that is applied is also submitted to the disk, in the same order."""
 
     def __init__(self, env: Environment, recovered: RecoveredDisk) -> None:
-        """Rebuild what the disk holds."""
+        """Rebuild the state from the snapshot and the log of the disk."""
         self._env = env
         self.map = StateMap()
         self.position = Position()
@@ -59,14 +59,14 @@
             self.position = Position(entry.term, entry.sequence)
 
     def append(self, entries: list[Entry]) -> None:
-        """Apply entries that follow `position`, and write them."""
+        """Apply entries that follow `position`, and submit them to the disk."""
         self._apply(entries)
         self._env.disk.append(encode_entries(entries), self._submit())
         if self._env.disk.wants_snapshot():
             self._write_snapshot()
 
     def replace(self, state: StateMap, position: Position) -> None:
-        """Take over another state whole."""
+        """Replace the whole state, and write it as a snapshot."""
         self.map = state
         self.position = position
         self.log.reset(position)
@@ -96,19 +96,19 @@
         _run_all(due)
 
     def when_durable(self, action: Callable[[], None]) -> None:
-        """Run `action` once all that is applied now is on the disk (at once if it is)."""
+        """Run `action` once everything applied so far is durable (at once if it already is)."""
         if self._durable >= self._submitted:
             action()
         else:
             self._waiting.append((self._submitted, action))
 
     def stalled_for(self) -> float:
-        """Seconds for which the oldest write has waited for the disk."""
-        return self._env.clock.now() - self._pending[0].at if self._pending else 0.0
+        """Return for how many seconds the oldest write has waited for the disk; 0 if none is waiting."""
+        return self._env.clock.now() - self._pending[0].submitted_at if self._pending else 0.0
 
 
 def _run_all(actions: list[Callable[[], None]]) -> None:
-    """Run all of them, also if one raises; the first error is raised in the end."""
+    """Run all actions even if some raise; then raise the first error."""
     failure: Exception | None = None
     for action in actions:
         try:
--- a/pipitledge/replication/target_view.py
+++ b/pipitledge/replication/target_view.py
@@ -1,4 +1,4 @@
-"""What the view should be, given how the backups are: pure decisions of a primary that continues."""
+"""The view that a primary should have, given the state of its backups: pure functions without side effects."""
 
 from __future__ import annotations
 
@@ -13,35 +13,35 @@
 
 
 class BackupState(Protocol):
-    """What is asked about one backup."""
+    """State of one backup as its primary knows it."""
 
     @property
     def disk_id(self) -> int:
-        """Its disk, 0 if it has not told."""
+        """Id of its disk; 0 if it has not been reported yet."""
 
     @property
     def amnesiac(self) -> bool:
-        """Whether it has lost its promises."""
+        """Whether it has lost its promises with its disk."""
 
     @property
     def leaving(self) -> bool:
-        """Whether it is about to stop."""
+        """Whether it has announced that it is about to stop."""
 
     def responsive(self) -> bool:
-        """Whether it answers."""
+        """Whether it answers in time."""
 
     def unreachable(self) -> bool:
-        """Whether it has been silent so long that another may take its place."""
+        """Whether it has been silent for so long that another node may replace it."""
 
     def caught_up(self) -> bool:
-        """Whether it holds all that is committed, on that disk."""
+        """Whether it has all committed entries on that disk, and is responsive."""
 
     def in_rejoin_backoff(self) -> bool:
-        """Whether it is not to join yet."""
+        """Whether it left the in-sync set recently and may not rejoin yet."""
 
 
 class ViewInputs(Struct):
-    """All that decides what the view should be."""
+    """Everything besides the current view that determines the target view."""
 
     me: Member
     tolerance: Tolerance
@@ -55,9 +55,10 @@
 
 
 def target_view(inputs: ViewInputs, base: View, base_decided: bool) -> View:
-    """The view that should follow `base`; epoch and term are those of `base`.
+    """Return the view that should follow `base`, with the epoch and term of `base`.
 
-    Members change only where `base` is known to be decided, and then by way of a view that both lists decide on.
+    Members change only if `base` is known to be decided, and through a joint view that majorities of both the new and
+    the previous list decide.
     """
     members = [_refresh_member(inputs, member) for member in base.members]
     unchanged = _MemberLists(members, base.previous)
@@ -66,20 +67,22 @@
     if base.previous:
         return _with_in_sync(inputs, base, _MemberLists(members, []))
     changed = _changed_members(inputs, members) or _with_casting_vote_moved(inputs, members)
-    if changed is not None and inputs.tolerance.satisfied_by(_healthy_members(inputs, base, changed.members), changed.members):
+    if changed is not None and inputs.tolerance.satisfied_by(
+        _healthy_members(inputs, base, changed.members), changed.members
+    ):
         return _with_in_sync(inputs, base, changed)
     return _with_in_sync(inputs, base, unchanged)
 
 
 def wants_learners(inputs: ViewInputs, base: View) -> bool:
-    """Whether a node that is not a member could become one."""
+    """Whether a node that is not a member could become one now."""
     return bool(_replaceable_members(inputs, base.members)) or any(
         _may_add(inputs, base.members, node) for node in inputs.counted.values()
     )
 
 
 def _refresh_member(inputs: ViewInputs, member: Member) -> Member:
-    """The member with the address, and the disk once it holds everything, that are its own now."""
+    """Return the member with its current address, and with its current disk once that disk has caught up."""
     if member.name == inputs.me.name:
         return inputs.me
     node = inputs.counted.get(member.name)
@@ -90,7 +93,7 @@
 
 
 def _healthy_members(inputs: ViewInputs, base: View, members: list[Member]) -> list[str]:
-    """Members that hold everything and answer."""
+    """Return the names of the members that are responsive and have all committed entries."""
     return [member.name for member in members if _is_healthy(inputs, base, member)]
 
 
@@ -106,7 +109,7 @@
 
 
 def _with_in_sync(inputs: ViewInputs, base: View, membership: _MemberLists) -> View:
-    """The in-sync set is all good members; where these are too few, nobody is taken out."""
+    """Return the view with all healthy members in sync; if these are too few, no member is removed."""
     names = set(_healthy_members(inputs, base, membership.members))
     if not inputs.tolerance.satisfied_by(names, membership.members):
         names |= set(base.in_sync)
@@ -115,7 +118,7 @@
 
 
 def _replaceable_members(inputs: ViewInputs, members: list[Member]) -> list[Member]:
-    """Members that have been silent for long, or say that they stop."""
+    """Return the members that are unreachable or about to stop."""
     found = []
     for member in members:
         backup = inputs.backups.get(member.name)
@@ -125,14 +128,14 @@
 
 
 def _may_add(inputs: ViewInputs, members: list[Member], node: NodeDescriptor) -> bool:
-    """Whether a node may be added: it was there at the first start, or there are too few members."""
+    """Whether a node may be added: it took part in the first start, or there are too few members."""
     if any(member.name == node.name for member in members):
         return False
     return node.bootstrap or len(members) < 2 * inputs.tolerance.machines + 1
 
 
 def _changed_members(inputs: ViewInputs, members: list[Member]) -> _MemberLists | None:
-    """Another list of members: a learner takes the place of one that is gone or stops, or is added."""
+    """Return lists in which a learner replaces a lost or stopping member, or is added; None if nothing changes."""
     learners = [node for node in inputs.counted.values() if _is_ready_learner(inputs, members, node)]
     for member in _replaceable_members(inputs, members):
         for node in sorted(learners, key=lambda node: (node.zone != member.zone, node.name)):
@@ -145,7 +148,7 @@
 
 
 def _with_casting_vote_moved(inputs: ViewInputs, members: list[Member]) -> _MemberLists | None:
-    """The same members with the primary first, where the one with two votes is gone and nobody takes its place."""
+    """Return the same members with the primary first, if the one with the casting vote is unreachable; else None."""
     first = members[0].name
     backup = inputs.backups.get(first)
     if votes_of(members)[first] == 1 or first == inputs.me.name or backup is None or not backup.unreachable():
--- a/pipitledge/replication/view_discovery.py
+++ b/pipitledge/replication/view_discovery.py
@@ -1,7 +1,8 @@
-"""Asks the other members which views they accepted, while no primary is heard and this node may not lead.
+"""Queries the other members for the views they accepted, while this node hears no primary and may not lead itself.
 
-A view may be decided, or about to be, that this node never heard of: its proposer is gone, and those that accepted it
-are not of its in-sync set. If this node is, nobody else can lead, so it has to learn of that view.
+A view may be decided, or about to be decided, that this node does not know: its proposer has failed, and the members
+that accepted it are not in the view's in-sync set. If this node is in that set, no other node can lead, so this node
+has to learn of the view.
 """
 
 from __future__ import annotations
@@ -12,32 +13,32 @@
 
 from pipitledge.replication.environment import Environment
 from pipitledge.replication.quorum import voters
-from pipitledge.replication.timing import VIEW_QUERY_INTERVAL_SECONDS, PROPOSAL_TIMEOUT_SECONDS
+from pipitledge.replication.timing import PROPOSAL_TIMEOUT_SECONDS, VIEW_QUERY_INTERVAL_SECONDS
 from pipitledge.wire.messages import EpochQuery, EpochReply, View
 
 
 class ViewDiscovery:
-    """Remembers the latest view that another member told of, decided or not."""
+    """Keeps the view of the highest epoch that another member reported, decided or not."""
 
     def __init__(self, env: Environment, latest: Callable[[], View | None]) -> None:
-        """`latest` gives the view of the highest epoch known, whose voters are asked."""
+        """`latest` returns the view of the highest epoch known; its voters are queried."""
         self._env = env
         self._latest = latest
         self._not_before = 0.0
-        self._heard: View | None = None
+        self._discovered: View | None = None
 
     @property
-    def heard(self) -> View | None:
-        """The view of the highest epoch that another member told of."""
-        return self._heard
+    def discovered(self) -> View | None:
+        """The view of the highest epoch that another member reported; None before the first report."""
+        return self._discovered
 
-    def note(self, view: View | None) -> None:
-        """Another member told that it has accepted this view."""
-        if view is not None and (self._heard is None or view.epoch > self._heard.epoch):
-            self._heard = view
+    def record_view(self, view: View | None) -> None:
+        """Record a view that another member has accepted."""
+        if view is not None and (self._discovered is None or view.epoch > self._discovered.epoch):
+            self._discovered = view
 
-    def ask(self) -> None:
-        """Ask all voters, if they were not asked a short time ago."""
+    def query(self) -> None:
+        """Query all voters, at most once every `VIEW_QUERY_INTERVAL_SECONDS`."""
         now = self._env.clock.now()
         view = self._latest()
         if view is None or now < self._not_before:
@@ -50,4 +51,4 @@
 
     def _on_reply(self, reply: Struct | None) -> None:
         if isinstance(reply, EpochReply) and not reply.amnesiac:
-            self.note(reply.accepted)
+            self.record_view(reply.accepted)
--- a/pipitledge/replication/witness.py
+++ b/pipitledge/replication/witness.py
@@ -1,6 +1,6 @@
-"""The member that votes on views: what it promised and accepted, and to whom it promised the lease.
+"""The voting part of a member (Paxos acceptor): its promises, its accepted view, and the lease it has granted.
 
-Nothing is answered before the record it rests on is durable.
+Every answer is sent only after the record that it depends on is durable.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from pipitledge.replication.timing import MEMBER_LEASE_SECONDS
 from pipitledge.wire.messages import Accepted, EpochReply, Prepare, Promise, Propose, View
 
-REASON_EPOCH = "epoch"  # a higher epoch, or this one to another proposer, is promised
+REASON_EPOCH = "epoch"  # a higher epoch is promised, or this epoch to another proposer
 REASON_LEASE = "lease"  # another node may hold the lease
 REASON_AMNESIAC = "amnesiac"  # promises were lost with the disk
-REASON_NOT_NAMED = "not named"  # the view does not name this node with its disk
-GRANTED_TO_CONTINUE = "continue"  # granted, but of use only if the proposer is the primary of the view it goes on from
-GRANTED_LEAVING = "leaving"  # granted; this node is about to stop and should not be relied on
+REASON_NOT_NAMED = "not named"  # the view does not contain this node with its current disk
+GRANTED_TO_CONTINUE = "continue"  # granted, but counts only if the proposer is the primary of its base view
+GRANTED_LEAVING = "leaving"  # granted, but this node is about to stop and should not be in sync
 
 
 class Witness:
-    """Promises of this node."""
+    """Votes and granted lease of this node."""
 
     def __init__(self, env: Environment, record: EpochRecord, restarted: bool) -> None:
-        """Go on from `record`; after a restart a lease given before may still run."""
+        """Continue from `record`; if `restarted`, a lease granted by the previous process may still be valid."""
         self._env = env
         self._record = record
         self._restart_lease_until = env.clock.now() + MEMBER_LEASE_SECONDS if restarted else 0.0
@@ -36,32 +36,32 @@
 
     @property
     def promised(self) -> int:
-        """The highest epoch promised."""
+        """Highest epoch promised."""
         return self._record.promised
 
     @property
     def accepted(self) -> View | None:
-        """The view of the highest epoch accepted."""
+        """Accepted view of the highest epoch; None if none was accepted."""
         return self._record.accepted
 
     @property
     def amnesiac(self) -> bool:
-        """Whether promises were lost and not recovered yet."""
+        """Whether promises were lost with a disk and are not recovered yet."""
         return self._record.amnesiac
 
     @property
     def original(self) -> bool:
-        """Whether this node started with the system, and no view has taken it in as a member yet."""
+        """Whether this node took part in the first start and has not been a member of any view yet."""
         return self._record.original
 
     def persist(self, on_durable: Callable[[], None]) -> None:
-        """Write the record as it is now."""
+        """Write the current record to disk; `on_durable` is called once it is durable."""
         self._env.disk.write_epochs(encode_epochs(self._record), on_durable)
 
     # ---- votes
 
     def on_prepare(self, message: Prepare, reply: Callable[[Promise], None]) -> None:
-        """First phase: promise to take no lower epoch."""
+        """First phase: promise to accept no lower epoch."""
         reason = self._refusal(message)
         if reason:
             reply(self._promise(False, reason))
@@ -101,7 +101,7 @@
         )
 
     def on_propose(self, message: Propose, reply: Callable[[Accepted], None]) -> None:
-        """Second phase: accept a view, unless a higher epoch is promised."""
+        """Second phase: accept a view unless a higher epoch has been promised."""
         view = message.view
         if self._record.amnesiac or view.epoch < self._record.promised or not self._may_accept_bootstrap(view):
             reply(Accepted(granted=False, epoch=self._record.promised, name=self._env.name))
@@ -118,13 +118,13 @@
             self._record.original = False
 
     def _may_accept_bootstrap(self, view: View) -> bool:
-        """A view that founds the system is taken once, by a node of the first start."""
+        """Whether the view is no first view, or this node took part in the first start and has accepted no view yet."""
         return not is_bootstrap_epoch(view.epoch) or (self._record.accepted is None and self._record.original)
 
-    # ---- what is told by others
+    # ---- views and primaries
 
     def learn(self, view: View) -> None:
-        """Take over a view that is known to be decided."""
+        """Record a view that is known to be decided."""
         accepted = self._record.accepted
         if self._record.amnesiac or view.epoch < self._record.promised:
             return
@@ -133,7 +133,7 @@
             self.persist(_ignore)
 
     def promise_to_primary(self, epoch: int, primary: str) -> bool:
-        """Promise the epoch of a primary that is obeyed; True if that is to be made durable first."""
+        """Promise the epoch of an accepted primary; True if the record has to be made durable before an answer."""
         if epoch <= self._record.promised:
             return False
         self._record.promised = epoch
@@ -141,7 +141,7 @@
         return True
 
     def accepts_primary(self, epoch: int, term: int, primary: str) -> bool:
-        """Whether messages of that primary count: it is not known that another has taken its place."""
+        """Whether messages of that primary are valid, because no promise or accepted view has superseded it."""
         record = self._record
         if epoch >= record.promised:
             return True
@@ -152,12 +152,12 @@
     # ---- the lease
 
     def grant_lease(self, holder: str) -> None:
-        """Promise nothing to others for the span of a lease."""
+        """Grant `holder` a lease: make no promise to another node for `MEMBER_LEASE_SECONDS`."""
         self._lease_holder = holder
         self._lease_until = self._env.clock.now() + MEMBER_LEASE_SECONDS
 
     def release_lease(self, holder: str) -> None:
-        """The holder gave its lease back."""
+        """End the lease early, as its holder gave it up."""
         if self._lease_holder == holder:
             self._lease_until = 0.0
 
@@ -170,10 +170,13 @@
         accepted = self._record.accepted
         return accepted.primary if accepted is not None else ""
 
-    # ---- recovery by hand
+    # ---- recovery by an operator
 
     def force(self, view: View, reply: Callable[[str], None]) -> None:
-        """Take a view that an operator orders, whatever was lost; `reply` gets why not, or "" once it is durable."""
+        """Accept a view forced by an operator, even after a disk loss.
+
+        `reply` gets "" once the view is durable, or the reason for a refusal.
+        """
         reason = self._force_refusal(view)
         if reason:
             reply(reason)
@@ -191,13 +194,13 @@
         return REASON_EPOCH if view.epoch <= self._record.promised else ""
 
     def hears_primary(self) -> bool:
-        """Whether a lease given may still run."""
+        """Whether a lease that this node granted may still be valid."""
         return self._bound_by_lease()
 
-    # ---- amnesia
+    # ---- disk loss
 
     def epoch_reply(self) -> EpochReply:
-        """What a member that lost its disk asks for."""
+        """Return the answer to the query of a member that lost its disk."""
         record = self._record
         return EpochReply(
             name=self._env.name,
@@ -208,7 +211,7 @@
         )
 
     def recover(self, replies: list[EpochReply], on_durable: Callable[[], None]) -> None:
-        """Take the highest of what enough others promised and accepted; votes from then on."""
+        """Adopt the highest promise and accepted view of enough other members; this node votes again from then on."""
         record = self._record
         for answer in replies:
             if answer.promised > record.promised:
@@ -222,4 +225,4 @@
 
 
 def _ignore() -> None:
-    """Nobody waits."""
+    """Do nothing; no answer depends on this write."""
--- a/tests/system/test_quorums.py
+++ b/tests/system/test_quorums.py
@@ -6,7 +6,7 @@
 import unittest
 from dataclasses import dataclass
 
-from pipitledge.replication.epochs import FIRST_ORDINARY_EPOCH, is_bootstrap_epoch, next_epoch, next_bootstrap_epoch
+from pipitledge.replication.epochs import FIRST_ORDINARY_EPOCH, is_bootstrap_epoch, next_bootstrap_epoch, next_epoch
 from pipitledge.replication.lease import Lease
 from pipitledge.replication.quorum import Tolerance, has_quorum, intersects_every_quorum
 from pipitledge.replication.target_view import ViewInputs, target_view, wants_learners
--- a/tests/system/test_witness.py
+++ b/tests/system/test_witness.py
@@ -12,7 +12,7 @@
 from pipitledge.replication.election import takeover_view
 from pipitledge.replication.environment import Environment
 from pipitledge.replication.epochs import FIRST_ORDINARY_EPOCH
-from pipitledge.replication.proposal import ProposalOutcome, Proposal
+from pipitledge.replication.proposal import Proposal, ProposalOutcome
 from pipitledge.replication.quorum import Tolerance
 from pipitledge.replication.records import EpochRecord, InitialMembersRecord, decode_epochs
 from pipitledge.replication.timing import MEMBER_LEASE_SECONDS
--- a/tests/system/view_bugs.py
+++ b/tests/system/view_bugs.py
@@ -100,7 +100,13 @@
         "the lease binds nobody", lambda: [mock.patch.object(Witness, "_bound_by_lease", lambda _self: False)], 4, 0, 0
     ),
     Bug("a restart forgets the lease", lambda: [mock.patch.object(view_model, "Witness", _not_quiet)]),
-    Bug("all that answer join the set", lambda: [mock.patch.object(election, "_remains_in_sync", lambda *_: True)], 4, 0, 27),
+    Bug(
+        "all that answer join the set",
+        lambda: [mock.patch.object(election, "_remains_in_sync", lambda *_: True)],
+        4,
+        0,
+        27,
+    ),
     Bug(
         "one that lacks entries joins the set",
         lambda: [mock.patch.object(view_model.BackupLook, "caught_up", lambda self: self.up)],
