--- a/tests/system/fake_replicator.py
+++ b/tests/system/fake_replicator.py
@@ -1,4 +1,4 @@
-"""Replicated state as the scheduler's tests have it: batches commit in order, after a delay."""
+"""Fake replicated state for the tests of the scheduler: batches commit in order, after a delay."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class StateOwner(Protocol):
-    """Who keeps the state from one primary to the next."""
+    """Owner of the state, which outlives one primary."""
 
     world: World
     state: dict[str, bytes]
@@ -20,7 +20,7 @@
 
 
 class FakeReplicator:
-    """Replicated state as one life of a primary uses it: commits in order, after a delay."""
+    """Replicated state for one process of a primary: commits in order, after a delay."""
 
     def __init__(self, owner: StateOwner, process: Process, term: int) -> None:
         self._owner = owner
@@ -43,8 +43,8 @@
         return self.leads and self._process.alive and self._owner.term == self._term
 
     def write(self, writes: list[Write], on_committed: Callable[[], None] | None = None) -> None:
-        assert self.is_primary(), "only a primary writes"
-        assert writes, "an empty batch is of no use"
+        assert self.is_primary(), "only the primary may write"
+        assert writes, "an empty batch"
         self._queue.append((copied_writes(writes), [on_committed] if on_committed else []))
         self._process.world.after(self.commit_s, self.commit_next)
 
@@ -55,7 +55,7 @@
             action()
 
     def commit_next(self) -> None:
-        """The oldest batch is committed."""
+        """Commit the oldest batch."""
         if self.stalled or not self._queue or self._owner.term != self._term:
             return
         writes, actions = self._queue.pop(0)
@@ -64,13 +64,13 @@
             self._process.deliver(action)
 
     def resume(self) -> None:
-        """End a stall."""
+        """End a stall, and commit everything that is queued."""
         self.stalled = False
         while self._queue:
             self.commit_next()
 
     def settle(self) -> None:
-        """The role is lost: some first part of what was written is committed all the same."""
+        """Lose the role: a random prefix of the queued batches is committed, the others are dropped."""
         for writes, _ in self._queue[: self._owner.world.random.randint(0, len(self._queue))]:
             self.apply(writes)
         self._queue.clear()
@@ -84,5 +84,5 @@
 
 
 def copied_writes(writes: list[Write]) -> list[Write]:
-    """Writes as they are at this moment."""
+    """Return copies, so that later changes of the writes have no effect."""
     return [copied(write) for write in writes]
--- a/tests/system/replica_cluster.py
+++ b/tests/system/replica_cluster.py
@@ -1,4 +1,4 @@
-"""The group of whole replicas that tests play with."""
+"""The emulator's group of complete replicas, under the names that the tests use."""
 
 from pipitledge.emulator.cluster.replica_group import (
     Client,
--- a/tests/system/replica_probe.py
+++ b/tests/system/replica_probe.py
@@ -1,4 +1,4 @@
-"""A process that sends one replica the messages that a test makes up."""
+"""A process that sends hand-made messages to one replica."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Probe:
-    """A process that sends one replica the messages that a test makes up."""
+    """A process that sends hand-made messages to one replica."""
 
     def __init__(self, cluster: Cluster, name: str = "probe") -> None:
         self.cluster = cluster
--- a/tests/system/test_control_identity.py
+++ b/tests/system/test_control_identity.py
@@ -1,4 +1,4 @@
-"""Answers count only for the call, the member and the term that they are for."""
+"""An answer counts only for the call, the member and the term that it belongs to."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 )
 from tests.system.replica_cluster import Client, Cluster
 
-ADDRESS_NOBODY_ELSE_HAS = "n2"
+LOST_MEMBER_ADDRESS = "n2"
 
 
 def with_taken_over_address() -> Cluster:
-    """Three members of which the third is gone; a machine of another name has its address."""
+    """Three members, of which the third is lost; a machine with another name has taken over its address."""
     cluster = Cluster(3)
     cluster.found()
     cluster.machines["n2"].wipe()
-    cluster.add("s1", zone="z2", address=ADDRESS_NOBODY_ELSE_HAS)
+    cluster.add("s1", zone="z2", address=LOST_MEMBER_ADDRESS)
     return cluster
 
 
-class AddressOfAnotherMember(unittest.TestCase):
-    def test_no_two_members_of_the_set_are_one_disk(self) -> None:
+class TakenOverAddressTest(unittest.TestCase):
+    def test_no_two_in_sync_members_have_the_same_disk(self) -> None:
         cluster = with_taken_over_address()
         client = Client(cluster)
         client.run(0.02)
@@ -41,10 +41,10 @@
         self.assertEqual(len(disks), len(set(disks)))
         self.assertNotIn("n2", view.in_sync)
 
-    def test_its_answers_are_no_votes_of_the_member(self) -> None:
+    def test_its_answers_do_not_count_as_votes_of_the_lost_member(self) -> None:
         cluster = with_taken_over_address()
         cluster.start("s1")
-        cluster.world.run_for(1.8)  # it knows what may have been promised, and is no member yet
+        cluster.world.run_for(1.8)  # by now it has recovered promises, but is no member yet
         self.assertEqual(["n0", "n1", "n2"], [member.name for member in cluster.view().members])
         survivor = next(name for name in ("n0", "n1") if name != cluster.primary())
         primary = cluster.primary()
@@ -56,8 +56,8 @@
         self.assertEqual(primary, view.primary, f"{survivor} had a view decided by its own vote alone")
 
 
-class ForgedAnswers(unittest.TestCase):
-    """Members whose answers are changed on their way."""
+class ForgedAnswersTest(unittest.TestCase):
+    """The answers of members are modified in transit."""
 
     def setUp(self) -> None:
         self.cluster = Cluster(3)
@@ -65,7 +65,7 @@
         self.others = [name for name in self.cluster.machines if name != self.primary]
 
     def _forge(self, name: str, change: Callable[[Struct], None]) -> None:
-        """Change what the handlers of that member answer to calls."""
+        """Modify each answer of that member to a call."""
         process = self.cluster.machines[name].process
         assert process is not None
         handle = process.handlers.call
@@ -83,14 +83,14 @@
         if isinstance(answer, Promise | Accepted | AppendReply | EpochReply):
             answer.name = "another"
 
-    def test_entries_are_not_held_by_one_that_answers_in_another_name(self) -> None:
+    def test_an_append_reply_with_another_name_does_not_confirm_entries(self) -> None:
         client = Client(self.cluster)
         self.assertTrue(client.write_and_wait(self.primary))
         for name in self.others:
             self._forge(name, self._rename)
         self.assertFalse(client.write_and_wait(self.primary, limit=3.0))
 
-    def test_nobody_is_elected_by_answers_in_another_name(self) -> None:
+    def test_no_primary_is_elected_by_answers_with_another_name(self) -> None:
         for name in self.others:
             self._forge(name, self._rename)
         self.cluster.machines[self.primary].power_off()
@@ -98,8 +98,8 @@
         self.assertEqual([], self.cluster.primaries())
 
 
-class AnswersOfAnotherTerm(unittest.TestCase):
-    def test_an_answer_to_a_heartbeat_of_an_earlier_term_renews_no_lease(self) -> None:
+class AnswersOfAnotherTermTest(unittest.TestCase):
+    def test_a_reply_to_a_heartbeat_of_an_earlier_term_does_not_renew_the_lease(self) -> None:
         cluster = Cluster(3)
         cluster.found()
         term = cluster.view().term
@@ -110,7 +110,7 @@
                 cluster.world.network.cut(primary, name)
         process = cluster.machines[primary].process
         assert process is not None
-        for _ in range(20):  # answers that a member gave to an earlier life at this address, by whatever clock
+        for _ in range(20):  # replies to an earlier process at this address
             cluster.world.run_for(0.1)
             for name in cluster.machines:
                 answer = HeartbeatReply(epoch=term - 1, name=name, sent_at=process.clock.now())
--- a/tests/system/test_control_members.py
+++ b/tests/system/test_control_members.py
@@ -1,4 +1,4 @@
-"""Losses one after another, members that stop, and halves: who goes on, and what is held where."""
+"""Successive losses, members that stop, and even splits: which nodes continue, and where the data is."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 CUT_SECONDS = 20.0
 
 
-class LostProposer(unittest.TestCase):
-    """A change of the set whose proposer is lost, and which only one outside the new set has accepted."""
+class LostProposerTest(unittest.TestCase):
+    """The proposer of a view change is lost, and only a member outside the new in-sync set has accepted the view."""
 
-    def test_the_one_that_may_lead_hears_of_the_view(self) -> None:
+    def test_the_only_possible_primary_learns_of_the_view(self) -> None:
         cluster = Cluster(3)
         self.assertEqual(cluster.found(), "n0")
         cluster.await_in_sync({"n0", "n1", "n2"}, 5.0)
@@ -26,7 +26,7 @@
         cluster.await_in_sync({"n0", "n1"}, 5.0)
         cluster.world.network.cut("n0", "n2")
         cluster.start("n2")
-        cluster.world.run_for(4.0)  # by gossip n2 knows that it is out of the set
+        cluster.world.run_for(4.0)  # n2 learns by gossip that it is out of sync
         decided = cluster.view()
         change = replace(decided, epoch=decided.epoch + FIRST_ORDINARY_EPOCH, in_sync=["n0", "n2"])
         self.assertTrue(Probe(cluster).propose("n1", change).granted)
@@ -36,10 +36,10 @@
         self.assertEqual(cluster.await_primary(8.0), "n2")
 
 
-class Halves(unittest.TestCase):
-    """Counted machines cut into two halves; all others reach both."""
+class EvenSplitTest(unittest.TestCase):
+    """The voting nodes are split into two halves; all other nodes reach both."""
 
-    def test_the_half_with_the_second_vote_goes_on(self) -> None:
+    def test_the_half_with_the_casting_vote_continues(self) -> None:
         for primary_inside in (True, False):
             with self.subTest(primary_inside=primary_inside):
                 cluster = Cluster(4)
@@ -83,7 +83,7 @@
         for pair in itertools.product(sorted(half), sorted(rest)):
             cluster.world.network.cut(*pair)
 
-    def test_of_three_the_larger_part_goes_on(self) -> None:
+    def test_of_three_members_the_larger_part_continues(self) -> None:
         cluster = Cluster(3)
         primary = cluster.found()
         client = Client(cluster)
@@ -96,8 +96,8 @@
         self.assertNotEqual(primary, cluster.primary())
 
 
-class LossAfterLoss(unittest.TestCase):
-    def test_disks_lost_one_after_another_with_just_the_time_to_catch_up(self) -> None:
+class SuccessiveLossesTest(unittest.TestCase):
+    def test_disks_are_lost_one_after_another_with_time_to_catch_up(self) -> None:
         for size, tolerated in ((3, 1), (4, 1), (5, 2), (8, 2)):
             with self.subTest(size=size):
                 cluster = Cluster(size, tolerated, seed=size)
@@ -115,7 +115,7 @@
                 self.assertGreater(len(client.acks), before)
                 invariants.check()
 
-    def test_last_of_the_oldest_disks_lost_while_all_others_lose_power(self) -> None:
+    def test_tolerated_disks_are_lost_while_all_others_lose_power(self) -> None:
         for size, tolerated in ((3, 1), (4, 1), (5, 2), (8, 2)):
             for wiped in itertools.combinations([f"n{index}" for index in range(size)], tolerated):
                 with self.subTest(size=size, wiped=wiped):
@@ -131,7 +131,7 @@
                     primary = cluster.await_primary(12.0)
                     self.assertEqual([], client.missing(cluster.state(primary)))
 
-    def test_of_four_a_second_may_go_once_the_second_vote_has_moved(self) -> None:
+    def test_of_four_members_a_second_may_fail_once_the_casting_vote_has_moved(self) -> None:
         cluster = Cluster(4)
         cluster.found()
         client = Client(cluster)
@@ -146,7 +146,7 @@
         cluster.world.run_for(2.0)
         self.assertGreater(len(client.acks), before + 20)
 
-    def test_two_that_lost_their_disks_in_turn_do_not_wait_for_each_other(self) -> None:
+    def test_two_members_that_lost_their_disks_in_turn_do_not_wait_for_each_other(self) -> None:
         cluster = Cluster(3)
         primary = cluster.found()
         client = Client(cluster)
@@ -154,7 +154,10 @@
         cluster.machines[first].wipe()
         cluster.start(first)
         cluster.await_in_sync(set(cluster.machines), 1.1)
-        self.assertTrue(cluster.replicas[first].status()["amnesiac"], "it can ask for its promises already")
+        self.assertTrue(
+            cluster.replicas[first].status()["amnesiac"],
+            "the member has already recovered its promises, so the test proves nothing",
+        )
         self.assertTrue(client.write_and_wait(primary))
         cluster.machines[second].power_off()
         cluster.world.run_for(CATCH_UP_SECONDS + 1.0)
@@ -177,8 +180,8 @@
                 cluster.add("s1", zone="z2")
                 cluster.start("s1")
                 cluster.world.run_for(delay)
-                self._power_all(cluster, {"n2"})
-                self.assertTrue(self._goes_on(cluster, client), "no write is acknowledged any more")
+                self._power_cycle_all(cluster, {"n2"})
+                self.assertTrue(self._write_succeeds(cluster, client), "no write is acknowledged any more")
                 cluster.world.run_for(CATCH_UP_SECONDS)
                 victim = next(name for name in ("n0", "n1") if name != cluster.primary())
                 cluster.machines[victim].wipe()
@@ -189,14 +192,14 @@
                 self.assertGreater(len(client.acks), before)
                 invariants.check()
 
-    def _goes_on(self, cluster: Cluster, client: Client, limit: float = 12.0) -> bool:
-        """Whether a write is acknowledged in time."""
+    def _write_succeeds(self, cluster: Cluster, client: Client, limit: float = 12.0) -> bool:
+        """Whether any write is acknowledged within `limit` seconds."""
         before = len(client.acks)
         return cluster.world.run_while(lambda: len(client.acks) == before, limit)
 
-    def _power_all(self, cluster: Cluster, gone: set[str]) -> None:
-        """All that are there lose power, and come back."""
-        names = [name for name in cluster.machines if name not in gone]
+    def _power_cycle_all(self, cluster: Cluster, lost: set[str]) -> None:
+        """All machines except the lost ones lose power, and start again."""
+        names = [name for name in cluster.machines if name not in lost]
         for name in names:
             cluster.machines[name].power_off()
         cluster.world.run_for(0.5)
@@ -204,7 +207,7 @@
             cluster.start(name)
 
 
-class Stopping(unittest.TestCase):
+class PlannedStopTest(unittest.TestCase):
     def setUp(self) -> None:
         self.cluster = Cluster(3)
         self.primary = self.cluster.found()
@@ -214,7 +217,7 @@
         self.backup = next(name for name in self.cluster.machines if name != self.primary)
         self.third = next(name for name in self.cluster.machines if name not in (self.primary, self.backup))
 
-    def test_a_backup_leaves_the_set_before_it_ends(self) -> None:
+    def test_a_backup_leaves_the_in_sync_set_before_it_stops(self) -> None:
         self.cluster.replicas[self.backup].step_down()
         self.cluster.world.run_for(0.6)
         self.assertNotIn(self.backup, self.cluster.view().in_sync)
@@ -222,9 +225,9 @@
         before = len(self.client.acks)
         self.cluster.machines[self.backup].kill()
         self.cluster.world.run_for(0.15)
-        self.assertGreater(len(self.client.acks), before + 3, "writes wait for one that had said that it stops")
+        self.assertGreater(len(self.client.acks), before + 3, "writes wait for a backup that announced its stop")
 
-    def test_one_that_holds_one_of_two_copies_is_needed_until_another_has_it(self) -> None:
+    def test_a_backup_with_one_of_two_copies_is_needed_until_another_has_caught_up(self) -> None:
         self.cluster.machines[self.third].power_off()
         self.cluster.await_in_sync({self.primary, self.backup}, 3.0)
         self.cluster.replicas[self.backup].step_down()
@@ -235,7 +238,7 @@
         self.cluster.world.run_for(0.5)
         self.assertFalse(self.cluster.replicas[self.backup].is_in_sync_member())
 
-    def test_a_primary_that_holds_one_of_two_copies_hands_over(self) -> None:
+    def test_a_primary_with_one_of_two_copies_hands_over(self) -> None:
         self.cluster.machines[self.third].power_off()
         self.cluster.await_in_sync({self.primary, self.backup}, 3.0)
         self.cluster.start(self.third)
@@ -245,7 +248,7 @@
         self.assertFalse(self.cluster.replicas[self.primary].is_in_sync_member())
         self.assertEqual([], self.client.missing(self.cluster.state(self.backup)))
 
-    def test_planned_replacement_before_the_old_one_ends(self) -> None:
+    def test_a_learner_replaces_a_member_before_it_stops(self) -> None:
         self.cluster.add("s1", zone="z2")
         self.cluster.start("s1")
         self.cluster.world.run_for(1.0)
--- a/tests/system/test_quorums.py
+++ b/tests/system/test_quorums.py
@@ -1,4 +1,4 @@
-"""Quorums, epochs, the lease, and the view that a primary wants: pure decisions."""
+"""Quorums, epochs, the lease, and the target view of a primary, tested as pure functions."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
         for names in itertools.combinations([member.name for member in view.members], 3):
             self.assertTrue(has_quorum(view, names))
 
-    def test_of_two_halves_the_one_with_the_first_member_decides(self) -> None:
+    def test_of_two_halves_the_one_with_the_first_member_is_a_quorum(self) -> None:
         view = View(members=members(4))
         self.assertTrue(has_quorum(view, {"m0", "m2"}))
         self.assertFalse(has_quorum(view, {"m1", "m3"}))
         self.assertTrue(has_quorum(view, {"m1", "m2", "m3"}))
         self.assertFalse(has_quorum(view, {"m0"}))
 
-    def test_any_two_quorums_share_a_member_and_any_majority_by_count_is_one(self) -> None:
+    def test_any_two_quorums_share_a_member_and_any_majority_by_count_is_a_quorum(self) -> None:
         for count in range(1, 9):
             view = View(members=members(count))
             names = [member.name for member in view.members]
@@ -49,7 +49,7 @@
                 for group in groups:
                     self.assertEqual(intersects_every_quorum(view, group), all(group & quorum for quorum in quorums))
 
-    def test_quorums_of_a_change_share_a_member_with_those_before_and_after(self) -> None:
+    def test_quorums_of_a_joint_view_share_a_member_with_those_before_and_after(self) -> None:
         for before, after in ((members(4), members(4, start=1)), (members(4), [*members(4)[1:], members(1)[0]])):
             joint, old, new = View(members=after, previous=before), View(members=before), View(members=after)
             names = sorted({member.name for member in before + after})
@@ -59,18 +59,18 @@
                 others = [group for group in groups if has_quorum(view, group)]
                 self.assertTrue(all(first & second for first in quorums for second in others))
 
-    def test_both_lists_decide_while_members_change(self) -> None:
-        view = View(members=members(3, start=1), previous=members(3))  # m0 leaves, m3 comes
+    def test_a_joint_view_needs_majorities_of_both_lists(self) -> None:
+        view = View(members=members(3, start=1), previous=members(3))  # m0 is replaced by m3
         self.assertFalse(has_quorum(view, {"m0", "m1"}))
         self.assertFalse(has_quorum(view, {"m1", "m3"}))
         self.assertTrue(has_quorum(view, {"m1", "m2"}))
 
-    def test_answers_that_meet_every_quorum(self) -> None:
+    def test_answers_that_intersect_every_quorum(self) -> None:
         view = View(members=members(5))
         self.assertFalse(intersects_every_quorum(view, {"m0", "m1"}))
         self.assertTrue(intersects_every_quorum(view, {"m0", "m1", "m2"}))
 
-    def test_tolerance_counts_machines_and_places(self) -> None:
+    def test_tolerance_counts_machines_and_zones(self) -> None:
         tolerance = Tolerance(machines=1, zones=1)
         self.assertFalse(tolerance.satisfied_by({"m0"}, members(3)))
         self.assertFalse(tolerance.satisfied_by({"m0", "m2"}, members(3)))
@@ -79,7 +79,7 @@
 
 
 class EpochTest(unittest.TestCase):
-    def test_epochs_rise_and_founding_stays_below(self) -> None:
+    def test_epochs_increase_and_bootstrap_epochs_are_lowest(self) -> None:
         first = next_bootstrap_epoch(0, "a")
         second = next_bootstrap_epoch(first, "b")
         later = next_epoch(second, "a")
@@ -89,7 +89,7 @@
 
 
 class LeaseTest(unittest.TestCase):
-    def test_runs_from_the_sending_that_a_majority_answered(self) -> None:
+    def test_lease_runs_from_the_sending_of_the_heartbeat_that_a_majority_answered(self) -> None:
         lease = Lease(View(members=members(3)))
         lease.answered("m0", 10.0)
         self.assertFalse(lease.held(10.1))
@@ -97,7 +97,7 @@
         self.assertTrue(lease.held(9.9 + PRIMARY_LEASE_SECONDS - 0.01))
         self.assertFalse(lease.held(9.9 + PRIMARY_LEASE_SECONDS))
 
-    def test_needs_both_lists_while_members_change(self) -> None:
+    def test_lease_of_a_joint_view_needs_majorities_of_both_lists(self) -> None:
         lease = Lease(View(members=members(3, start=2), previous=members(3)))
         lease.answered("m0", 10.0)
         lease.answered("m1", 10.0)
@@ -109,27 +109,27 @@
 
 @dataclass
 class FakeBackup:
-    """How one backup is, as a test says."""
+    """State of one backup, set by the test."""
 
     disk_id: int
-    alive: bool = True
-    gone: bool = False
-    caught: bool = True
-    off: bool = False
+    is_responsive: bool = True
+    is_unreachable: bool = False
+    has_all_entries: bool = True
+    backing_off: bool = False
     amnesiac: bool = False
     leaving: bool = False
 
     def responsive(self) -> bool:
-        return self.alive
+        return self.is_responsive
 
     def unreachable(self) -> bool:
-        return self.gone
+        return self.is_unreachable
 
     def caught_up(self) -> bool:
-        return self.caught and self.alive
+        return self.has_all_entries and self.is_responsive
 
     def in_rejoin_backoff(self) -> bool:
-        return self.off
+        return self.backing_off
 
 
 class TargetViewTest(unittest.TestCase):
@@ -139,11 +139,11 @@
         self.view = View(epoch=9, term=9, primary="m0", in_sync=names, members=self.members)
         self.backups = {f"m{index}": FakeBackup(index + 1) for index in (1, 2)}
         self.counted: dict[str, NodeDescriptor] = {}
-        self.leader = self.members[0]
+        self.primary_member = self.members[0]
 
     def _target(self, decided: bool = True) -> View:
-        situation = ViewInputs(self.leader, Tolerance(machines=1), self.backups, self.counted)
-        return target_view(situation, self.view, decided)
+        inputs = ViewInputs(self.primary_member, Tolerance(machines=1), self.backups, self.counted)
+        return target_view(inputs, self.view, decided)
 
     def _learner(self, name: str, zone: str = "z9", bootstrap: bool = False) -> None:
         self.counted[name] = NodeDescriptor(name=name, zone=zone, bootstrap=bootstrap)
@@ -152,44 +152,44 @@
     def test_nothing_to_change(self) -> None:
         self.assertEqual(self._target(), self.view)
 
-    def test_silent_backup_leaves(self) -> None:
-        self.backups["m2"].alive = False
+    def test_silent_backup_leaves_the_in_sync_set(self) -> None:
+        self.backups["m2"].is_responsive = False
         self.assertEqual(self._target().in_sync, ["m0", "m1"])
 
-    def test_last_one_needed_stays(self) -> None:
+    def test_last_required_backup_stays_in_sync(self) -> None:
         self.view.in_sync = ["m0", "m1"]
-        self.backups["m1"].alive = False
-        self.backups["m2"].caught = False
+        self.backups["m1"].is_responsive = False
+        self.backups["m2"].has_all_entries = False
         self.assertEqual(self._target().in_sync, ["m0", "m1"])
 
-    def test_silent_one_is_exchanged_for_one_that_caught_up(self) -> None:
+    def test_silent_backup_is_replaced_in_sync_by_one_that_caught_up(self) -> None:
         self.view.in_sync = ["m0", "m1"]
-        self.backups["m1"].alive = False
+        self.backups["m1"].is_responsive = False
         self.assertEqual(self._target().in_sync, ["m0", "m2"])
 
-    def test_joins_only_when_it_has_caught_up_and_is_not_held_off(self) -> None:
+    def test_joins_only_when_it_has_caught_up_and_its_backoff_is_over(self) -> None:
         self.view.in_sync = ["m0", "m1"]
-        self.backups["m2"].caught = False
+        self.backups["m2"].has_all_entries = False
         self.assertEqual(self._target().in_sync, ["m0", "m1"])
-        self.backups["m2"].caught = True
-        self.backups["m2"].off = True
+        self.backups["m2"].has_all_entries = True
+        self.backups["m2"].backing_off = True
         self.assertEqual(self._target().in_sync, ["m0", "m1"])
-        self.backups["m2"].off = False
+        self.backups["m2"].backing_off = False
         self.assertEqual(self._target().in_sync, ["m0", "m1", "m2"])
 
-    def test_lost_disk_leaves_at_once_and_joins_under_its_new_number(self) -> None:
+    def test_lost_disk_leaves_at_once_and_joins_under_its_new_id(self) -> None:
         self.backups["m2"].disk_id = 77
-        self.backups["m2"].caught = False
+        self.backups["m2"].has_all_entries = False
         target = self._target()
         self.assertEqual((target.in_sync, target.members[2].disk_id), (["m0", "m1"], 3))
-        self.backups["m2"].caught = True
+        self.backups["m2"].has_all_entries = True
         target = self._target()
         self.assertEqual((target.in_sync, target.members[2].disk_id), (["m0", "m1", "m2"], 77))
 
-    def test_learner_takes_a_dead_members_place_in_two_steps(self) -> None:
+    def test_learner_replaces_a_dead_member_through_a_joint_view(self) -> None:
         self._learner("s1")
-        self.backups["m1"].alive = False
-        self.backups["m1"].gone = True
+        self.backups["m1"].is_responsive = False
+        self.backups["m1"].is_unreachable = True
         self.view = self._target()
         self.assertEqual([member.name for member in self.view.members], ["m0", "m2", "s1"])
         self.assertEqual(self.view.previous, self.members)
@@ -197,25 +197,25 @@
         self.assertEqual(self._target(decided=False).previous, self.members)
         self.assertEqual(self._target().previous, [])
 
-    def test_members_do_not_change_on_top_of_a_view_that_may_not_be_decided(self) -> None:
+    def test_members_do_not_change_while_the_base_view_may_be_undecided(self) -> None:
         self._learner("s1")
-        self.backups["m1"].alive = False
-        self.backups["m1"].gone = True
+        self.backups["m1"].is_responsive = False
+        self.backups["m1"].is_unreachable = True
         self.assertEqual(self._target(decided=False).members, self.members)
 
-    def test_learner_that_lost_its_promises_waits(self) -> None:
+    def test_learner_that_lost_its_promises_is_not_added(self) -> None:
         self._learner("s1")
         self.backups["s1"].amnesiac = True
-        self.backups["m1"].gone = True
+        self.backups["m1"].is_unreachable = True
         self.assertEqual(self._target().members, self.members)
 
-    def test_learner_of_the_same_zone_goes_first(self) -> None:
+    def test_learner_of_the_same_zone_is_preferred(self) -> None:
         self._learner("s1")
         self._learner("s2", zone="z1")
-        self.backups["m1"].gone = True
+        self.backups["m1"].is_unreachable = True
         self.assertEqual(self._target().members[-1].name, "s2")
 
-    def test_original_node_is_added_and_a_later_one_is_not(self) -> None:
+    def test_node_of_the_first_start_is_added_and_a_later_one_is_not(self) -> None:
         self._learner("s1")
         self.assertEqual(self._target(), self.view)
         self._learner("s2", bootstrap=True)
@@ -223,48 +223,48 @@
         self.assertEqual([member.name for member in target.members], ["m0", "m1", "m2", "s2"])
         self.assertEqual(target.previous, self.members)
 
-    def test_one_that_stops_is_left_out_while_enough_others_hold_everything(self) -> None:
+    def test_leaving_backup_is_left_out_while_enough_others_are_in_sync(self) -> None:
         self.backups["m2"].leaving = True
         self.assertEqual(self._target().in_sync, ["m0", "m1"])
-        self.backups["m1"].caught = False
+        self.backups["m1"].has_all_entries = False
         self.view.in_sync = ["m0", "m2"]
         self.assertEqual(self._target().in_sync, ["m0", "m2"])
 
-    def test_learner_takes_the_place_of_one_that_stops(self) -> None:
+    def test_learner_replaces_a_leaving_member(self) -> None:
         self._learner("s1")
         self.backups["m1"].leaving = True
         self.assertEqual([member.name for member in self._target().members], ["m0", "m2", "s1"])
 
-    def test_second_vote_moves_to_the_primary_once_its_member_is_gone(self) -> None:
-        self._even()
+    def test_casting_vote_moves_to_the_primary_once_its_member_is_unreachable(self) -> None:
+        self._set_up_four_members()
         self.assertEqual(self._target(), self.view)
-        self.backups["m0"].alive = False
+        self.backups["m0"].is_responsive = False
         self.assertEqual(self._target().members, self.members)
-        self.backups["m0"].gone = True
+        self.backups["m0"].is_unreachable = True
         target = self._target()
         self.assertEqual([member.name for member in target.members], ["m1", "m0", "m2", "m3"])
         self.assertEqual(target.previous, self.members)
         self.assertEqual(target.in_sync, ["m1", "m2", "m3"])
 
-    def test_second_vote_stays_where_a_learner_can_take_the_place(self) -> None:
-        self._even()
+    def test_casting_vote_does_not_move_if_a_learner_can_replace_its_member(self) -> None:
+        self._set_up_four_members()
         self._learner("s1")
-        self.backups["m0"].alive, self.backups["m0"].gone = False, True
+        self.backups["m0"].is_responsive, self.backups["m0"].is_unreachable = False, True
         self.assertEqual([member.name for member in self._target().members], ["m1", "m2", "m3", "s1"])
 
-    def _even(self) -> None:
-        """Four members, led by the second of them."""
+    def _set_up_four_members(self) -> None:
+        """Use four members, with the second one as primary."""
         self.members = [Member(name=f"m{index}", zone=f"z{index}", disk_id=index + 1) for index in range(4)]
         names = [member.name for member in self.members]
         self.view = View(epoch=9, term=9, primary="m1", in_sync=names, members=self.members)
         self.backups = {f"m{index}": FakeBackup(index + 1) for index in (0, 2, 3)}
-        self.leader = self.members[1]
+        self.primary_member = self.members[1]
 
-    def test_wants_learners_only_where_one_could_become_a_member(self) -> None:
-        situation = ViewInputs(self.members[0], Tolerance(machines=1), self.backups, self.counted)
-        self.assertFalse(wants_learners(situation, self.view))
-        self.backups["m1"].gone = True
-        self.assertTrue(wants_learners(situation, self.view))
+    def test_wants_learners_only_if_one_could_become_a_member(self) -> None:
+        inputs = ViewInputs(self.members[0], Tolerance(machines=1), self.backups, self.counted)
+        self.assertFalse(wants_learners(inputs, self.view))
+        self.backups["m1"].is_unreachable = True
+        self.assertTrue(wants_learners(inputs, self.view))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_replication.py
+++ b/tests/system/test_replication.py
@@ -1,4 +1,4 @@
-"""Entries: commit, failover, divergence, repair, and random faults. All in virtual time."""
+"""Replication of entries: commit, failover, divergence, repair and disasters, in virtual time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class StateMapTest(unittest.TestCase):
-    def test_digests_do_not_depend_on_the_order_or_the_past(self) -> None:
+    def test_digests_do_not_depend_on_the_order_or_on_earlier_values(self) -> None:
         one, other = StateMap(), StateMap()
         one.apply([Write(key="a", value=b"1"), Write(key="b", value=b"2"), Write(key="c", value=b"3")])
         other.apply([Write(key="b", value=b"x"), Write(key="d", value=b"4"), Write(key="c", value=b"3")])
@@ -31,28 +31,28 @@
         self.assertEqual(other.differing(one.digests()), [])
         self.assertEqual(one.as_dict(), {"a": b"1", "b": b"2", "c": b"3"})
 
-    def test_range_by_range_a_fork_becomes_equal(self) -> None:
-        ours, theirs = StateMap(), StateMap()
-        ours.apply([Write(key=f"key{index}", value=b"new") for index in range(500)])
-        theirs.apply([Write(key=f"key{index}", value=b"old") for index in range(300, 700)])
-        copy = theirs.fork()
-        for index in ours.differing(copy.digests()):
-            copy.replace_range(ours.content_of(index))
-        self.assertEqual(copy.as_dict(), ours.as_dict())
-        self.assertEqual(ours.differing(copy.digests()), [])
-        self.assertEqual(theirs.get("key600"), b"old")
-
-    def test_range_that_is_empty_here_differs(self) -> None:
-        ours, theirs = StateMap(), StateMap()
-        theirs.apply([Write(key="a", value=b"1")])
-        copy = theirs.fork()
-        for index in ours.differing(copy.digests()):
-            copy.replace_range(ours.content_of(index))
+    def test_a_fork_becomes_equal_by_replacing_ranges(self) -> None:
+        primary_map, backup_map = StateMap(), StateMap()
+        primary_map.apply([Write(key=f"key{index}", value=b"new") for index in range(500)])
+        backup_map.apply([Write(key=f"key{index}", value=b"old") for index in range(300, 700)])
+        copy = backup_map.fork()
+        for index in primary_map.differing(copy.digests()):
+            copy.replace_range(primary_map.content_of(index))
+        self.assertEqual(copy.as_dict(), primary_map.as_dict())
+        self.assertEqual(primary_map.differing(copy.digests()), [])
+        self.assertEqual(backup_map.get("key600"), b"old")
+
+    def test_a_range_that_is_empty_on_the_primary_differs(self) -> None:
+        primary_map, backup_map = StateMap(), StateMap()
+        backup_map.apply([Write(key="a", value=b"1")])
+        copy = backup_map.fork()
+        for index in primary_map.differing(copy.digests()):
+            copy.replace_range(primary_map.content_of(index))
         self.assertEqual(len(copy), 0)
 
 
 class RecordsTest(unittest.TestCase):
-    def test_records_come_back_as_they_were(self) -> None:
+    def test_records_round_trip(self) -> None:
         entries = [entry(3, 4), Entry(term=3, sequence=5, writes=[Write(key="k", deleted=True)])]
         self.assertEqual(decode_entries(encode_entries(entries)), entries)
         snapshot = Snapshot(term=3, sequence=5, keys=["a"], values=[b"\0\xff"])
@@ -95,17 +95,17 @@
         self.invariants.check()
 
 
-class LostAnswer:
-    """Has one append carried out and its answer lost."""
+class LostReply:
+    """Loses the reply to one append that was carried out."""
 
     def __init__(self, cluster: Cluster, primary: str) -> None:
         self.lost = 0
         process = cluster.machines[primary].process
         assert process is not None
         self._call = process.network.call
-        process.network.call = self._losing  # type: ignore[method-assign]
+        process.network.call = self._call_losing_reply  # type: ignore[method-assign]
 
-    def _losing(self, address: str, request: Struct, timeout: float, on_reply: ReplyHandler) -> None:
+    def _call_losing_reply(self, address: str, request: Struct, timeout: float, on_reply: ReplyHandler) -> None:
         if self.lost or not isinstance(request, Append) or not request.entries:
             self._call(address, request, timeout, on_reply)
             return
@@ -114,8 +114,8 @@
 
 
 class CommitTest(ClusterTest):
-    def test_a_lone_write_is_acknowledged_though_the_answer_to_its_append_was_lost(self) -> None:
-        lost = LostAnswer(self.cluster, "n0")
+    def test_a_single_write_is_acknowledged_although_the_reply_to_its_append_was_lost(self) -> None:
+        lost = LostReply(self.cluster, "n0")
         self.assertTrue(self.client.write_and_wait("n0", 1.0))
         self.assertEqual(lost.lost, 1)
 
@@ -128,19 +128,19 @@
         self.cluster.machines["n2"].disk.resume()
         self.cluster.await_in_sync({"n0", "n1", "n2"}, 10.0)
 
-    def test_acknowledged_when_all_of_the_set_have_it_on_disk(self) -> None:
+    def test_acknowledged_once_durable_on_the_whole_in_sync_set(self) -> None:
         self.assertTrue(self.client.write_and_wait("n0", 0.1))
         for machine in self.cluster.machines.values():
             self.assertIn(b"key/1", b"".join(machine.disk.log))
 
-    def test_not_acknowledged_before_the_slowest_disk_has_it(self) -> None:
+    def test_not_acknowledged_before_it_is_durable_on_the_slowest_disk(self) -> None:
         self.cluster.machines["n2"].disk.stall()
         self.assertFalse(self.client.write_and_wait("n0", 0.5))
         self.cluster.machines["n2"].disk.resume()
         self.world.run_for(0.1)
         self.assertEqual(len(self.client.acks), 1)
 
-    def test_own_disk_is_waited_for(self) -> None:
+    def test_commit_waits_for_the_own_disk(self) -> None:
         self.cluster.machines["n0"].disk.stall()
         self.assertFalse(self.client.write_and_wait("n0", 0.5))
         self.cluster.machines["n0"].disk.resume()
@@ -159,7 +159,7 @@
         replica.after_commit(lambda: order.append(51))
         self.assertEqual(order[-1], 51)
 
-    def test_entries_queue_up_while_a_call_is_under_way(self) -> None:
+    def test_entries_are_batched_while_a_call_is_in_flight(self) -> None:
         calls: list[int] = []
         process = self.cluster.machines["n1"].process
         assert process is not None
@@ -176,13 +176,13 @@
         self.assertEqual(sum(calls), 100)
         self.assertLessEqual(len(calls), 4)
 
-    def test_write_is_ignored_by_a_node_that_does_not_lead(self) -> None:
+    def test_write_is_ignored_by_a_node_that_is_not_primary(self) -> None:
         self.client.write("n1")
         self.world.run_for(2.0)
         self.assertEqual(self.client.acks, [])
         self.assertEqual(self.cluster.state("n0"), {})
 
-    def test_service_is_given_all_state_when_another_node_leads(self) -> None:
+    def test_service_gets_the_whole_state_after_a_failover(self) -> None:
         for _ in range(30):
             self.client.write("n0")
         self.world.run_for(1.0)
@@ -214,7 +214,7 @@
         self.client.run(0.01)
         self.world.run_for(1.0)
 
-    def test_silent_backup_leaves_the_set_and_returns(self) -> None:
+    def test_silent_backup_leaves_the_in_sync_set_and_rejoins(self) -> None:
         self.cluster.machines["n2"].freeze()
         self.cluster.await_in_sync({"n0", "n1"}, 1.2)
         acks = len(self.client.acks)
@@ -233,7 +233,7 @@
         self.cluster.machines["n2"].disk.resume()
         self.cluster.await_in_sync({"n0", "n1", "n2"}, 4.0)
 
-    def test_last_backup_that_is_needed_does_not_leave(self) -> None:
+    def test_last_required_backup_does_not_leave_the_in_sync_set(self) -> None:
         self.cluster.machines["n2"].power_off()
         self.cluster.await_in_sync({"n0", "n1"}, 1.5)
         self.cluster.machines["n1"].disk.stall()
@@ -243,7 +243,7 @@
         self.assertEqual(self.cluster.view().in_sync, ["n0", "n1"])
         self.assertEqual(len(self.client.acks), acks)
 
-    def test_caught_up_backup_takes_the_place_of_a_silent_one(self) -> None:
+    def test_caught_up_backup_replaces_a_silent_one(self) -> None:
         self.cluster.machines["n2"].power_off()
         self.cluster.await_in_sync({"n0", "n1"}, 1.5)
         self.cluster.machines["n1"].freeze()
@@ -251,8 +251,8 @@
         self.cluster.start("n2")
         self.cluster.await_in_sync({"n0", "n2"}, 4.0)
 
-    def test_returning_backup_that_is_slow_is_waited_for(self) -> None:
-        """Commits by others must not run ahead of it for ever."""
+    def test_commits_wait_for_a_slow_backup_that_rejoins(self) -> None:
+        """Otherwise commits by the others would always be ahead of it, and it could never rejoin."""
         self.world.network.extra_delay[("n0", "n2")] = 0.05
         self.cluster.machines["n2"].freeze()
         self.cluster.await_in_sync({"n0", "n1"}, 1.2)
@@ -269,7 +269,7 @@
         self.world.run_for(0.5)
         self.assertEqual(self.cluster.state("n2"), self.cluster.state("n0"))
 
-    def test_big_state_is_repaired_by_many_calls(self) -> None:
+    def test_large_state_is_repaired_in_many_calls(self) -> None:
         replies: list[RepairReply] = []
         process = self.cluster.machines["n0"].process
         assert process is not None
@@ -293,8 +293,8 @@
         self.world.run_for(0.5)
         self.assertEqual(self.cluster.state("n2"), self.cluster.state("n0"))
 
-    def test_state_stays_whole_while_it_is_repaired(self) -> None:
-        """A loss of power in the middle of a repair leaves what was held before."""
+    def test_state_is_unchanged_until_a_repair_is_complete(self) -> None:
+        """After a power loss in the middle of a repair the backup has its state from before."""
         self.cluster.machines["n2"].power_off()
         self.cluster.await_in_sync({"n0", "n1"}, 1.5)
         replica = self.cluster.replicas["n0"]
@@ -324,7 +324,7 @@
 
 
 class DivergenceTest(ClusterTest):
-    def test_entries_that_only_the_old_primary_has_are_dropped(self) -> None:
+    def test_uncommitted_entries_of_the_old_primary_are_dropped(self) -> None:
         self.assertTrue(self.client.write_and_wait("n0"))
         self.world.network.isolate("n0")
         replica = self.cluster.replicas["n0"]
@@ -339,7 +339,7 @@
         self.assertEqual(self.cluster.state("n0"), self.cluster.state("n1"))
         self.assertEqual(acked, [])
 
-    def test_backup_that_holds_more_than_the_new_primary_is_repaired(self) -> None:
+    def test_backup_with_more_entries_than_the_new_primary_is_repaired(self) -> None:
         self.world.network.cut("n0", "n1", both=False)
         self.cluster.replicas["n0"].write([Write(key="half", value=b"1")])
         self.world.run_for(0.05)
@@ -351,7 +351,7 @@
         self.assertNotIn("half", self.cluster.state("n2"))
         self.assertEqual(self.cluster.state("n1"), self.cluster.state("n2"))
 
-    def test_backup_takes_nothing_from_a_primary_of_the_past(self) -> None:
+    def test_backup_rejects_entries_of_an_old_primary(self) -> None:
         old = self.cluster.view()
         self.cluster.machines["n0"].power_off()
         name = self.cluster.await_primary(4.0)
@@ -374,7 +374,7 @@
         self.assertGreater(answer.epoch, old.epoch)
         self.assertNotIn("late", self.cluster.state(other))
 
-    def test_repair_needs_the_primary(self) -> None:
+    def test_only_the_primary_grants_a_repair(self) -> None:
         answer = Probe(self.cluster).ask("n1", RepairRequest(name="probe"))
         assert isinstance(answer, RepairReply)
         self.assertFalse(answer.granted)
@@ -382,7 +382,7 @@
 
 
 class DisasterTest(unittest.TestCase):
-    """Right after an acknowledgement as many disks are lost as may be, and all else loses power."""
+    """Right after an acknowledgement the tolerated number of disks is lost, and all other machines lose power."""
 
     def _play(self, size: int, machines: int, seed: int, first_wiped: int) -> None:
         cluster = Cluster(size, machines, seed=seed)
@@ -413,8 +413,8 @@
                 with self.subTest(size=size, machines=machines, first_wiped=first_wiped):
                     self._play(size, machines, 7 * size + first_wiped, first_wiped)
 
-    def test_set_too_small_acknowledges_nothing(self) -> None:
-        """Where a member is gone, the one backup left is not done without."""
+    def test_nothing_is_acknowledged_without_the_last_required_backup(self) -> None:
+        """With two members lost, the last required backup stays in the in-sync set although its disk hangs."""
         cluster = Cluster(5, machines=2)
         cluster.found()
         client = Client(cluster)
@@ -425,7 +425,7 @@
         self.assertFalse(client.write_and_wait("n0", 3.0))
         self.assertEqual(cluster.view().in_sync, ["n0", "n1", "n2"])
 
-    def test_set_that_is_too_small_for_new_settings_acknowledges_nothing(self) -> None:
+    def test_in_sync_set_too_small_for_new_settings_acknowledges_nothing(self) -> None:
         cluster = Cluster(3, machines=1)
         cluster.found()
         cluster.machines["n2"].power_off()
@@ -438,8 +438,8 @@
         cluster.start("n2")
         self.assertTrue(Client(cluster).write_and_wait(cluster.await_primary(5.0)))
 
-    def test_entries_wait_for_a_node_that_may_be_in_the_set(self) -> None:
-        """Of a change of view whose outcome is not known, the node that it adds might lead already."""
+    def test_commits_wait_for_a_node_that_may_be_in_sync(self) -> None:
+        """If the outcome of a view change is unknown, the node that it adds may be primary already."""
         cluster = Cluster(3)
         cluster.found()
         client = Client(cluster)
@@ -455,8 +455,8 @@
         cluster.await_in_sync({"n0", "n1", "n2"}, 4.0)
         self.assertEqual(len(client.acks), 1)
 
-    def test_zones_are_spread_over(self) -> None:
-        cluster = Cluster(4, machines=1, zones=1)  # n0 and n3 stand in one zone
+    def test_nothing_is_acknowledged_within_a_single_zone(self) -> None:
+        cluster = Cluster(4, machines=1, zones=1)  # n0 and n3 are in the same zone
         cluster.found()
         for name in ("n1", "n2"):
             cluster.machines[name].disk.stall()
--- a/tests/system/test_replication_faults.py
+++ b/tests/system/test_replication_faults.py
@@ -1,4 +1,4 @@
-"""Replication under drawn faults within the tolerance."""
+"""Replication under random faults within the fault tolerance."""
 
 from __future__ import annotations
 
--- a/tests/system/test_view_search.py
+++ b/tests/system/test_view_search.py
@@ -1,4 +1,4 @@
-"""The search of views: nothing is broken as it stands, and bugs that are put in are found."""
+"""The search over view changes: the shipped code violates no invariant, and injected bugs are found."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     return Group(members, tolerated, spares, WIDE_BOUNDS)
 
 
-class AsItStands(unittest.TestCase):
-    def test_each_run_of_three_members_within_small_bounds(self) -> None:
+class ShippedCodeTest(unittest.TestCase):
+    def test_exhaustive_search_of_three_members_within_small_bounds(self) -> None:
         search = Search()
         self.assertEqual(STATES, search.run(STATES))
         self.assertGreater(search.recoveries, 50)
 
-    def test_drawn_runs(self) -> None:
+    def test_random_walks(self) -> None:
         for members, tolerated, spares in GROUPS:
             with self.subTest(members=members, spares=spares):
                 search = Search(lambda size=(members, tolerated, spares): group(*size))  # type: ignore[misc]
@@ -35,14 +35,14 @@
                 self.assertGreater(search.states, 50 * WALKS)
 
 
-class PutIn(unittest.TestCase):
-    def test_each_is_found(self) -> None:
+class InjectedBugsTest(unittest.TestCase):
+    def test_each_injected_bug_is_found(self) -> None:
         for bug in BUGS:
             if bug.seed is not None:
                 with self.subTest(bug=bug.name):
                     self.assertIsNotNone(self._violation(bug, bug.seed))
 
-    def test_the_same_walks_find_nothing_without_them(self) -> None:
+    def test_the_same_walks_find_nothing_in_the_shipped_code(self) -> None:
         for bug in BUGS:
             if bug.seed is not None:
                 with self.subTest(bug=bug.name):
--- a/tests/system/test_views.py
+++ b/tests/system/test_views.py
@@ -1,4 +1,4 @@
-"""Views: founding, elections, members that come and go, lost disks."""
+"""Views: bootstrap, elections, membership changes and lost disks."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from tests.system.replica_probe import Probe
 
 
-class FoundingTest(unittest.TestCase):
-    def test_all_that_started_found_together(self) -> None:
+class BootstrapTest(unittest.TestCase):
+    def test_all_nodes_of_the_first_start_become_members(self) -> None:
         cluster = Cluster(5, machines=2)
         for index, name in enumerate(reversed(list(cluster.machines))):
             cluster.world.after(0.07 * index, lambda name=name: cluster.start(name, bootstrap=True))  # type: ignore[misc]
@@ -22,7 +22,7 @@
         self.assertEqual(cluster.primaries(), ["n0"])
         self.assertEqual(cluster.view().in_sync, ["n0", "n1", "n2", "n3", "n4"])
 
-    def test_next_one_founds_when_the_first_is_gone(self) -> None:
+    def test_next_node_bootstraps_when_the_first_has_failed(self) -> None:
         cluster = Cluster(3)
         cluster.start_all(bootstrap=True)
         cluster.world.run_for(0.5)
@@ -30,17 +30,17 @@
         cluster.world.run_for(12.0)
         self.assertEqual(cluster.primaries(), ["n1"])
 
-    def test_node_alone_founds_nothing(self) -> None:
+    def test_single_node_does_not_bootstrap(self) -> None:
         cluster = Cluster(1, machines=1)
         cluster.start_all(bootstrap=True)
         cluster.world.run_for(30.0)
         self.assertEqual(cluster.primaries(), [])
 
-    def test_node_alone_founds_where_nothing_may_be_lost(self) -> None:
+    def test_single_node_bootstraps_without_fault_tolerance(self) -> None:
         cluster = Cluster(1, machines=0)
         self.assertEqual(cluster.found(), "n0")
 
-    def test_minority_founds_nothing(self) -> None:
+    def test_minority_does_not_bootstrap(self) -> None:
         cluster = Cluster(5, machines=1)
         cluster.seeds = ["n1", "n2", "n3"]
         for name in ("n0", "n1"):
@@ -51,7 +51,7 @@
         self.assertIn(cluster.primary(), ("n2", "n3", "n4"))
         self.assertEqual(len(cluster.primaries()), 1)
 
-    def test_killed_in_the_middle_goes_on(self) -> None:
+    def test_bootstrap_continues_after_a_power_loss(self) -> None:
         for moment in range(1500, 1540, 3):
             with self.subTest(moment=moment):
                 cluster = Cluster(3, seed=moment)
@@ -62,7 +62,7 @@
                 cluster.start_all()
                 cluster.await_primary(25.0)
 
-    def test_late_original_node_becomes_a_member(self) -> None:
+    def test_late_node_of_the_first_start_becomes_a_member(self) -> None:
         cluster = Cluster(4, machines=1)
         for name in ("n0", "n1", "n2"):
             cluster.start(name, bootstrap=True)
@@ -73,7 +73,7 @@
         self.assertEqual(len(cluster.view().members), 4)
         self.assertEqual(cluster.view().previous, [])
 
-    def test_too_few_members_are_joined_by_a_restarted_node(self) -> None:
+    def test_restarted_node_is_added_to_too_few_members(self) -> None:
         cluster = Cluster(3, machines=1)
         for name in ("n0", "n1"):
             cluster.start(name, bootstrap=True)
@@ -94,7 +94,7 @@
     def tearDown(self) -> None:
         self.invariants.check()
 
-    def test_first_successor_leads_soon_after_a_kill(self) -> None:
+    def test_first_successor_takes_over_soon_after_a_kill(self) -> None:
         self.cluster.machines["n0"].kill()
         self.assertEqual(self.cluster.await_primary(2.5), "n1")
         self.assertEqual(self.client.missing(self.cluster.state("n1")), [])
@@ -105,7 +105,7 @@
         self.cluster.world.run_for(5.0)
         self.assertEqual(self.cluster.primaries(), ["n1"])
 
-    def test_frozen_primary_cannot_acknowledge_when_it_wakes(self) -> None:
+    def test_frozen_primary_cannot_acknowledge_after_it_resumes(self) -> None:
         self.client.write("n0")
         self.cluster.machines["n0"].freeze()
         self.cluster.world.run_for(3.0)
@@ -126,13 +126,13 @@
         self.cluster.world.run_for(1.0)
         self.assertEqual(self.cluster.primaries(), [])
 
-    def test_lapsed_lease_alone_drops_nothing(self) -> None:
+    def test_expired_lease_alone_does_not_deactivate_services(self) -> None:
         world = self.cluster.world
         world.network.isolate("n0")
         world.run_while(lambda: self.cluster.replicas["n0"].is_primary(), 2.0)
         self.assertTrue(self.cluster.services["n0"].active)
 
-    def test_primary_goes_on_in_its_term_if_nobody_took_its_place(self) -> None:
+    def test_primary_keeps_its_term_if_no_other_was_elected(self) -> None:
         term = self.cluster.replicas["n0"].term
         for name in ("n1", "n2"):
             self.cluster.machines[name].kill()
@@ -143,7 +143,7 @@
         self.assertEqual(self.cluster.await_primary(2.5), "n0")
         self.assertEqual(self.cluster.replicas["n0"].term, term)
 
-    def test_restart_of_the_primary_begins_a_new_term(self) -> None:
+    def test_restart_of_the_primary_starts_a_new_term(self) -> None:
         term = self.cluster.replicas["n0"].term
         self.cluster.machines["n0"].kill()
         self.cluster.start("n0")
@@ -156,12 +156,12 @@
         self.assertIn(self.cluster.await_primary(4.0, other_than="n0"), ("n1", "n2"))
 
     def test_one_way_cut_to_the_primary(self) -> None:
-        """Its heartbeats go on arriving, so no other may lead until it gives the role up; then one does."""
+        """The backups still get heartbeats, so another node can lead only after the primary has given up its role."""
         for name in ("n1", "n2"):
             self.cluster.world.network.cut(name, "n0", both=False)
         self.assertIn(self.cluster.await_primary(8.0, other_than="n0"), ("n1", "n2"))
 
-    def test_hanging_disk_of_the_primary_makes_another_lead(self) -> None:
+    def test_hanging_disk_of_the_primary_leads_to_a_failover(self) -> None:
         self.cluster.machines["n0"].disk.stall()
         self.assertIn(self.cluster.await_primary(3.5, other_than="n0"), ("n1", "n2"))
         self.assertTrue(self.client.write_and_wait(self.cluster.primary() or "", 2.0))
@@ -175,7 +175,7 @@
 
 
 class LostDiskTest(unittest.TestCase):
-    def test_lost_disk_counts_as_out_of_sync_and_returns(self) -> None:
+    def test_lost_disk_is_out_of_sync_and_rejoins(self) -> None:
         cluster = Cluster(3)
         cluster.found()
         client = Client(cluster)
@@ -193,7 +193,7 @@
         self.assertEqual(member.disk_id, cluster.disk_ids()["n2"])
         self.assertNotEqual(member.disk_id, old)
 
-    def test_does_not_vote_before_proposals_of_its_old_life_are_over(self) -> None:
+    def test_does_not_vote_before_proposals_with_its_old_disk_have_ended(self) -> None:
         cluster = Cluster(3)
         cluster.found()
         cluster.machines["n2"].wipe()
@@ -204,7 +204,7 @@
         cluster.world.run_for(1.0)
         self.assertNotEqual(probe.prepare("n2", 10**8).reason, "amnesiac")
 
-    def test_learns_the_highest_epoch_that_the_others_promised(self) -> None:
+    def test_recovers_the_highest_epoch_that_others_promised(self) -> None:
         cluster = Cluster(3)
         cluster.found()
         probe = Probe(cluster)
@@ -220,7 +220,7 @@
         assert record is not None
         self.assertGreaterEqual(decode_epochs(record).promised, epoch)
 
-    def test_needs_answers_that_meet_every_quorum(self) -> None:
+    def test_needs_answers_that_intersect_every_quorum(self) -> None:
         cluster = Cluster(3)
         cluster.found()
         cluster.machines["n0"].power_off()
@@ -234,7 +234,7 @@
         cluster.start("n0")
         cluster.await_in_sync({"n0", "n1", "n2"}, 8.0)
 
-    def test_lost_disk_of_the_primary_makes_another_lead(self) -> None:
+    def test_lost_disk_of_the_primary_leads_to_a_failover(self) -> None:
         cluster = Cluster(3)
         cluster.found()
         client = Client(cluster)
@@ -245,7 +245,7 @@
         self.assertIn(name, ("n1", "n2"))
         self.assertEqual(client.missing(cluster.state(name)), [])
 
-    def test_member_without_its_promises_grants_no_lease(self) -> None:
+    def test_member_that_lost_its_promises_grants_no_lease(self) -> None:
         cluster = Cluster(3)
         cluster.found()
         cluster.machines["n1"].power_off()
@@ -273,7 +273,7 @@
 
 
 class ReplacementTest(unittest.TestCase):
-    def test_machine_at_another_address_takes_a_dead_members_place(self) -> None:
+    def test_machine_at_another_address_replaces_a_dead_member(self) -> None:
         cluster = Cluster(3)
         cluster.found()
         client = Client(cluster)
@@ -289,7 +289,7 @@
         cluster.machines["n0"].power_off()
         cluster.await_primary(3.0)
 
-    def test_learner_waits_while_all_members_are_there(self) -> None:
+    def test_learner_is_not_added_while_all_members_are_up(self) -> None:
         cluster = Cluster(3)
         cluster.found()
         cluster.add("s1")
@@ -336,7 +336,7 @@
             cluster.start(primary)
             name = cluster.await_primary(4.0, other_than=primary)
             self.assertEqual(client.missing(cluster.state(name)), [])
-            cluster.world.run_for(4.0)  # until then it counts as lost
+            cluster.world.run_for(4.0)  # until then its disk counts as lost
             cluster.await_in_sync({"n0", "n1", "n2"}, 1.0)
 
 
--- a/tests/system/test_witness.py
+++ b/tests/system/test_witness.py
@@ -1,4 +1,4 @@
-"""One member's votes, what it takes from whom, and its record; one attempt to have a view decided."""
+"""Votes and record of one member, the entries that a backup accepts, and one attempt to get a view decided."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
 
 
 class WitnessTest(unittest.TestCase):
-    """One replica alone, asked by hand."""
+    """A single replica that gets hand-made messages."""
 
     def setUp(self) -> None:
-        self.cluster = Cluster(1, machines=2, drift=False)  # never founds by itself: two more are needed
+        self.cluster = Cluster(1, machines=2, drift=False)  # never bootstraps by itself, as two more nodes are needed
         self.cluster.start("n0", bootstrap=True)
         self.probe = Probe(self.cluster)
         self.member = Member(name="n0", address="n0")
@@ -50,7 +50,7 @@
         probe = Member(name="probe", address="probe")
         return View(epoch=epoch, term=epoch, primary=primary, in_sync=["n0", "probe"], members=[self.member, probe])
 
-    def test_takes_no_lower_epoch_than_promised(self) -> None:
+    def test_accepts_no_lower_epoch_than_promised(self) -> None:
         self.assertTrue(self.probe.prepare("n0", self.base + 5).granted)
         refused = self.probe.prepare("n0", self.base + 4)
         self.assertEqual((refused.granted, refused.reason, refused.epoch), (False, "epoch", self.base + 5))
@@ -62,7 +62,7 @@
         self.assertEqual(self.probe.prepare("n0", self.base, "b").reason, "epoch")
         self.assertTrue(self.probe.prepare("n0", self.base, "a").granted)
 
-    def test_remembers_over_a_loss_of_power(self) -> None:
+    def test_promises_survive_a_power_loss(self) -> None:
         self.probe.prepare("n0", self.base)
         self.probe.propose("n0", self.view(self.base))
         self.probe.prepare("n0", self.base + 9)
@@ -74,7 +74,7 @@
         assert promise.accepted is not None
         self.assertEqual(promise.accepted.epoch, self.base)
 
-    def test_answers_after_the_promise_is_durable(self) -> None:
+    def test_answers_only_once_the_promise_is_durable(self) -> None:
         disk = self.cluster.machines["n0"].disk
         disk.stall()
         answers: list[object] = []
@@ -88,31 +88,31 @@
         assert disk.epochs is not None
         self.assertEqual(decode_epochs(disk.epochs).promised, self.base)
 
-    def _give_lease(self, epoch: int) -> None:
+    def _send_heartbeat_of_holder(self, epoch: int) -> None:
         heartbeat = Heartbeat(epoch=epoch, term=epoch, primary="holder", sent_at=1.0, view=self.view(epoch, "holder"))
         self.probe.process.network.datagram("n0", heartbeat)
         self.cluster.world.run_for(0.05)
 
-    def test_lease_bars_others_until_it_ran_out(self) -> None:
-        self._give_lease(self.base)
+    def test_lease_excludes_others_until_it_expires(self) -> None:
+        self._send_heartbeat_of_holder(self.base)
         self.assertEqual(self.probe.prepare("n0", self.base + 2000).reason, "lease")
         self.cluster.world.run_for(MEMBER_LEASE_SECONDS)
         self.assertTrue(self.probe.prepare("n0", self.base + 2000).granted)
 
-    def test_lease_holder_may_go_on(self) -> None:
-        self._give_lease(self.base)
+    def test_lease_holder_may_continue(self) -> None:
+        self._send_heartbeat_of_holder(self.base)
         promise = self.probe.prepare("n0", self.base + 2000, "holder")
         self.assertEqual((promise.granted, promise.reason), (True, "continue"))
 
-    def test_promises_nothing_for_a_lease_after_a_restart(self) -> None:
-        self._give_lease(self.base)
+    def test_promises_nothing_for_one_lease_after_a_restart(self) -> None:
+        self._send_heartbeat_of_holder(self.base)
         self.cluster.machines["n0"].kill()
         self.cluster.start("n0")
         self.assertEqual(self.probe.prepare("n0", self.base + 2000).reason, "lease")
         self.cluster.world.run_for(MEMBER_LEASE_SECONDS)
         self.assertTrue(self.probe.prepare("n0", self.base + 2000).granted)
 
-    def test_refuses_lease_below_its_promise(self) -> None:
+    def test_refuses_a_lease_below_its_promise(self) -> None:
         self.probe.prepare("n0", self.base + 7, "other")
         heartbeat = Heartbeat(epoch=self.base, term=self.base, primary="probe", sent_at=1.0, view=self.view(self.base))
         self.probe.process.network.datagram("n0", heartbeat)
@@ -120,12 +120,12 @@
         self.assertEqual([reply.epoch for reply in self.probe.replies], [self.base + 7])
         self.assertTrue(self.probe.prepare("n0", self.base + 8, "other").granted)
 
-    def test_accepts_one_founding_only(self) -> None:
+    def test_accepts_only_one_bootstrap_view(self) -> None:
         self.assertTrue(self.probe.propose("n0", self.view(1024)).granted)
         self.assertFalse(self.probe.propose("n0", self.view(2048)).granted)
         self.assertTrue(self.probe.propose("n0", self.view(self.base)).granted)
 
-    def test_lost_disk_neither_promises_nor_accepts_nor_founds(self) -> None:
+    def test_after_a_disk_loss_it_neither_promises_nor_accepts_nor_bootstraps(self) -> None:
         self.cluster.machines["n0"].wipe()
         self.cluster.start("n0")
         self.cluster.world.run_for(3.0)
@@ -137,7 +137,7 @@
 
 
 class BackupFenceTest(unittest.TestCase):
-    """What a backup takes from whom; the replica of `WitnessTest`, asked by hand."""
+    """Which primaries a backup accepts entries from; the same single replica as in `WitnessTest`."""
 
     def setUp(self) -> None:
         self.cluster = Cluster(1, machines=2, drift=False)
@@ -164,7 +164,7 @@
         answer = self._append(self.base, self.base)
         self.assertEqual((answer.accepted, answer.epoch), (False, self.base + 1))
 
-    def test_epoch_below_a_promise_to_the_same_primary_is_taken(self) -> None:
+    def test_epoch_below_a_promise_to_the_same_primary_is_accepted(self) -> None:
         self.probe.prepare("n0", self.base + 1)
         self.assertTrue(self._append(self.base, self.base).accepted)
 
@@ -181,7 +181,7 @@
         self.assertFalse(self._append(self.base + 2, self.base, (self.base + 1, 1)).accepted)
         self.assertTrue(self._append(self.base + 2, self.base + 1, (self.base + 1, 1)).accepted)
 
-    def test_entry_of_a_higher_epoch_binds_like_a_promise(self) -> None:
+    def test_entry_of_a_higher_epoch_counts_as_a_promise(self) -> None:
         self.assertTrue(self._append(self.base + 1, self.base + 1).accepted)
         self.cluster.machines["n0"].power_off()
         self.cluster.start("n0")
@@ -190,7 +190,7 @@
 
 
 class ProposalTest(unittest.TestCase):
-    """A proposal of `n0`; the other members `a` and `b` answer as the test says."""
+    """A proposal of `n0`; the other members `a` and `b` give the answers that the test sets."""
 
     def setUp(self) -> None:
         self._set_up(0)
@@ -198,7 +198,7 @@
     def _set_up(self, seed: int) -> None:
         self.world = World(seed)
         self.base = 2 * FIRST_ORDINARY_EPOCH
-        self.freezes = False  # whether this node stops once its view has reached another member
+        self.freeze_on_propose = False  # whether this node is frozen once its view has reached another member
         names = ["n0", "a", "b"]
         self.members = [Member(name=name, address=name, disk_id=index) for index, name in enumerate(names, 1)]
         self.view = View(epoch=self.base, term=self.base, primary="a", in_sync=names, members=self.members)
@@ -215,7 +215,7 @@
             reply(answer)
 
         def accept(message: Propose, reply: Callable[[Struct], None]) -> None:
-            self.process.frozen = self.freezes
+            self.process.frozen = self.freeze_on_propose
             reply(Accepted(granted=True, epoch=message.view.epoch, name=process.machine.name))
 
         process.handlers.on_call(Prepare, promise)
@@ -244,13 +244,13 @@
         self.assertEqual(len(self.outcomes), 1)
         return self.outcomes[0].decided
 
-    def test_all_answer(self) -> None:
+    def test_all_members_that_answer_are_in_sync(self) -> None:
         self._propose()
         view = self._decided()
         assert view is not None
         self.assertEqual((view.primary, view.term, view.in_sync), ("n0", self.base + 1, ["n0", "a", "b"]))
 
-    def test_one_that_is_gone_is_left_out(self) -> None:
+    def test_failed_member_is_left_out(self) -> None:
         self.world.machines["a"].power_off()
         self._propose()
         view = self._decided()
@@ -263,7 +263,7 @@
         self._propose()
         self.assertIsNone(self._decided())
 
-    def test_goes_on_from_the_latest_view_that_a_member_tells_of(self) -> None:
+    def test_continues_from_the_latest_view_that_a_member_reports(self) -> None:
         later = View(epoch=self.base + 1, term=self.base + 1, primary="b", in_sync=["n0", "b"], members=self.members)
         self.promises["b"].accepted = later
         self._propose()
@@ -271,44 +271,44 @@
         assert view is not None
         self.assertEqual(view.in_sync, ["n0", "b"])
 
-    def test_does_not_lead_where_a_later_view_left_it_out(self) -> None:
+    def test_is_not_elected_if_a_later_view_left_it_out(self) -> None:
         later = View(epoch=self.base + 1, term=self.base + 1, primary="b", in_sync=["a", "b"], members=self.members)
         self.promises["b"].accepted = later
         self._propose()
         self.assertIsNone(self._decided())
 
-    def test_promise_to_go_on_does_not_make_another_primary(self) -> None:
+    def test_promise_to_continue_does_not_elect_another_primary(self) -> None:
         for promise in self.promises.values():
             promise.reason = "continue"
         self._propose()
         self.assertIsNone(self._decided())
 
-    def test_promise_to_go_on_serves_the_primary_of_the_latest_view(self) -> None:
+    def test_promise_to_continue_counts_for_the_primary_of_the_latest_view(self) -> None:
         for promise in self.promises.values():
             promise.reason = "continue"
         self.view.primary = "n0"
         self._propose()
         self.assertIsNotNone(self._decided())
 
-    def test_answers_that_are_read_too_late_do_not_count(self) -> None:
+    def test_answers_processed_after_the_deadline_do_not_count(self) -> None:
         for seed in range(20):
             with self.subTest(seed=seed):
                 self._set_up(seed)
-                self.freezes = True
+                self.freeze_on_propose = True
                 self._propose()
                 self.world.run_for(2.0)
                 self.assertTrue(self.process.frozen)
                 self.process.thaw()
                 self.assertIsNone(self._decided())
 
-    def test_disk_that_was_lost_does_not_stay_in_the_set(self) -> None:
+    def test_lost_disk_does_not_stay_in_sync(self) -> None:
         self.promises["b"].disk_id = 99
         self._propose()
         view = self._decided()
         assert view is not None
         self.assertEqual(view.in_sync, ["n0", "a"])
 
-    def test_set_is_not_made_smaller_than_the_tolerance_calls_for(self) -> None:
+    def test_in_sync_set_does_not_shrink_below_the_fault_tolerance(self) -> None:
         self.view.in_sync = ["n0", "a"]
         self.world.machines["a"].power_off()
         self._propose()
@@ -318,7 +318,7 @@
 
 
 class RecordTest(unittest.TestCase):
-    def test_first_record_of_a_bootstrap_node_is_kept(self) -> None:
+    def test_first_record_of_a_bootstrap_node_is_persisted(self) -> None:
         cluster = Cluster(1, machines=1)
         cluster.start("n0", bootstrap=True)
         cluster.world.run_for(0.1)
