--- a/pipitledge/replication/bootstrap.py
+++ b/pipitledge/replication/bootstrap.py
@@ -34,7 +34,7 @@
         """`bootstrapped` returns whether a view is known; `may_bootstrap` whether enough of the network was reached."""
         self._env = env
         self._bootstrapped = bootstrapped
-        self._may_accept_bootstrap = may_bootstrap
+        self._may_bootstrap = may_bootstrap
         self._propose = propose
         self._started_at = env.clock.now()
         self._bootstrap_nodes: dict[str, NodeDescriptor] = {}
@@ -92,10 +92,10 @@
         return self._enough_nodes(members, now - self._started_at)
 
     def _enough_nodes(self, members: list[Member], waited: float) -> bool:
-        """Whether enough nodes are known to survive the tolerated losses; after a long wait, to start at all."""
+        """Whether enough nodes are known to keep a majority after the tolerated losses, or later just to start."""
         machines = self._env.tolerance.machines
         least = 2 * machines + 1 if waited < BOOTSTRAP_REDUCED_SIZE_AFTER_SECONDS else machines + 1
-        return len(members) >= least and self._may_accept_bootstrap()
+        return len(members) >= least and self._may_bootstrap()
 
 
 def bootstrap_view(
--- a/pipitledge/replication/primary.py
+++ b/pipitledge/replication/primary.py
@@ -384,7 +384,7 @@
             me=self._env.me,
             tolerance=self._env.tolerance,
             backups=self._streams,
-            counted={node.name: node for node in self._env.membership.counted() if node.name != self._env.name},
+            voting_nodes={node.name: node for node in self._env.membership.counted() if node.name != self._env.name},
         )
 
     def _reconcile(self) -> None:
--- a/pipitledge/replication/quorum.py
+++ b/pipitledge/replication/quorum.py
@@ -86,7 +86,7 @@
     regions: int = 0
 
     def satisfied_by(self, names: Collection[str], members: list[Member]) -> bool:
-        """Whether `names` are enough nodes, in enough zones and regions; never more than exist."""
+        """Whether `names` are enough nodes in enough zones and regions; no more are required than `members` have."""
         holders = [member for member in members if member.name in names]
         return (
             len(holders) >= min(self.machines + 1, len(members))
--- a/pipitledge/replication/target_view.py
+++ b/pipitledge/replication/target_view.py
@@ -46,7 +46,7 @@
     me: Member
     tolerance: Tolerance
     backups: Mapping[str, BackupState]
-    counted: Mapping[str, NodeDescriptor]
+    voting_nodes: Mapping[str, NodeDescriptor]
 
 
 class _MemberLists(Struct):
@@ -77,7 +77,7 @@
 def wants_learners(inputs: ViewInputs, base: View) -> bool:
     """Whether a node that is not a member could become one now."""
     return bool(_replaceable_members(inputs, base.members)) or any(
-        _may_add(inputs, base.members, node) for node in inputs.counted.values()
+        _may_add(inputs, base.members, node) for node in inputs.voting_nodes.values()
     )
 
 
@@ -85,7 +85,7 @@
     """Return the member with its current address, and with its current disk once that disk has caught up."""
     if member.name == inputs.me.name:
         return inputs.me
-    node = inputs.counted.get(member.name)
+    node = inputs.voting_nodes.get(member.name)
     backup = inputs.backups.get(member.name)
     address = node.address if node is not None else member.address
     disk_id = backup.disk_id if backup is not None and backup.caught_up() else member.disk_id
@@ -136,7 +136,7 @@
 
 def _changed_members(inputs: ViewInputs, members: list[Member]) -> _MemberLists | None:
     """Return lists in which a learner replaces a lost or stopping member, or is added; None if nothing changes."""
-    learners = [node for node in inputs.counted.values() if _is_ready_learner(inputs, members, node)]
+    learners = [node for node in inputs.voting_nodes.values() if _is_ready_learner(inputs, members, node)]
     for member in _replaceable_members(inputs, members):
         for node in sorted(learners, key=lambda node: (node.zone != member.zone, node.name)):
             others = [other for other in members if other.name != member.name]
--- a/pipitledge/replication/witness.py
+++ b/pipitledge/replication/witness.py
@@ -118,7 +118,7 @@
             self._record.original = False
 
     def _may_accept_bootstrap(self, view: View) -> bool:
-        """Whether the view is no first view, or this node took part in the first start and has accepted no view yet."""
+        """Refuse a first view unless this node took part in the first start and has accepted no view yet."""
         return not is_bootstrap_epoch(view.epoch) or (self._record.accepted is None and self._record.original)
 
     # ---- views and primaries
@@ -141,7 +141,7 @@
         return True
 
     def accepts_primary(self, epoch: int, term: int, primary: str) -> bool:
-        """Whether messages of that primary are valid, because no promise or accepted view has superseded it."""
+        """Whether to follow that primary: no promise or accepted view of this node shows that it was replaced."""
         record = self._record
         if epoch >= record.promised:
             return True
