--- a/pipitledge/replication/epochs.py
+++ b/pipitledge/replication/epochs.py
@@ -1,32 +1,32 @@
-"""Epoch numbers: a round and a mark of the proposer, so that two proposers seldom choose the same.
+"""Epoch numbers: a round and a hash of the proposer's name, so that two proposers rarely choose the same epoch.
 
-Where they do, a member promises one epoch to one proposer only, so at most one of them gets a quorum.
-The first rounds are those of founding; any view that follows one founds nothing and has a later round.
+If they do, a member promises an epoch to one proposer only, so at most one of them gets a quorum.
+The lowest rounds are reserved for the first view, which bootstraps the system; all later views have higher rounds.
 """
 
 from __future__ import annotations
 
 import zlib
 
-PROPOSERS = 1024
+EPOCHS_PER_ROUND = 1024
 FIRST_ORDINARY_ROUND = 1024
-FIRST_ORDINARY_EPOCH = FIRST_ORDINARY_ROUND * PROPOSERS
+FIRST_ORDINARY_EPOCH = FIRST_ORDINARY_ROUND * EPOCHS_PER_ROUND
 
 
 def _epoch(round_number: int, proposer: str) -> int:
-    return round_number * PROPOSERS + zlib.crc32(proposer.encode()) % PROPOSERS
+    return round_number * EPOCHS_PER_ROUND + zlib.crc32(proposer.encode()) % EPOCHS_PER_ROUND
 
 
-def next_founding_epoch(highest: int, proposer: str) -> int:
-    """An epoch above `highest` for a view that founds the system."""
-    return _epoch(highest // PROPOSERS + 1, proposer)
+def next_bootstrap_epoch(highest: int, proposer: str) -> int:
+    """Return an epoch above `highest` for a first view, which bootstraps the system."""
+    return _epoch(highest // EPOCHS_PER_ROUND + 1, proposer)
 
 
 def next_epoch(highest: int, proposer: str) -> int:
-    """An epoch above `highest` for any later view."""
-    return _epoch(max(highest // PROPOSERS + 1, FIRST_ORDINARY_ROUND), proposer)
+    """Return an epoch above `highest` for any later view."""
+    return _epoch(max(highest // EPOCHS_PER_ROUND + 1, FIRST_ORDINARY_ROUND), proposer)
 
 
-def is_founding(epoch: int) -> bool:
-    """Whether a view of that epoch founds the system."""
+def is_bootstrap_epoch(epoch: int) -> bool:
+    """Whether a view of this epoch bootstraps the system."""
     return 0 < epoch < FIRST_ORDINARY_EPOCH
--- a/tests/system/whole_system_mutants.py
+++ b/tests/system/whole_system_mutants.py
@@ -106,8 +106,8 @@
 
 
 def _commit_without_backups() -> list[Any]:
-    """An entry counts as committed as soon as it is on the primary's own disk."""
-    return [mock.patch.object(Primary, "_held_by_all", lambda self: self._own_durable)]
+    """An entry counts as committed once it is on the primary's own disk."""
+    return [mock.patch.object(Primary, "_durable_on_all", lambda self: self._own_durable)]
 
 
 def _duplicates_not_recognized() -> list[Any]:
