--- a/benchmarks/control_state.py
+++ b/benchmarks/control_state.py
@@ -11,7 +11,7 @@
 import json
 import time
 
-from pipitledge.configuration.keeper import CHANGES_KEPT
+from pipitledge.configuration.configuration_service import CHANGES_KEPT
 from pipitledge.replication.records import Snapshot, decode_snapshot, encode_snapshot
 from pipitledge.replication.state_map import StateMap
 from pipitledge.wire.codec import encode, encode_record
--- a/pipitledge/agent/reporter.py
+++ b/pipitledge/agent/reporter.py
@@ -28,7 +28,7 @@
 class PrimaryCalls(Protocol):
     """Calls that find the primary."""
 
-    def call(self, request: Struct, patience_s: float, on_done: Callable[[CallOutcome], None]) -> None:
+    def call(self, request: Struct, timeout_s: float, on_done: Callable[[CallOutcome], None]) -> None:
         """Send to whichever node is primary; `on_done` comes once, in `patience_s` seconds or little more."""
 
 
--- a/pipitledge/configuration/checks.py
+++ b/pipitledge/configuration/checks.py
@@ -18,8 +18,8 @@
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
 MAX_VERSION = 2**63 - 1  # records carry it in 64 bits
-MAX_PROBLEMS = 20  # told in one answer
-WHOLE = "(whole)"  # place of a problem that no single field has
+MAX_PROBLEMS = 20  # listed in one answer
+WHOLE_DOCUMENT = "(whole)"  # place of a problem that no single field has
 
 JsonObject = dict[str, Any]
 
@@ -27,12 +27,12 @@
 class Problem(Struct, frozen=True):
     """One thing wrong with a configuration: `routes[1].timeoutMs` must be above 0, say."""
 
-    place: str
+    location: str
     reason: str
 
     def __str__(self) -> str:
         """The problem as one line."""
-        return f"{self.place}: {self.reason}"
+        return f"{self.location}: {self.reason}"
 
 
 class InvalidConfiguration(Struct, frozen=True):
@@ -42,9 +42,9 @@
 
     def __str__(self) -> str:
         """All problems on one line, or the first of them if there are many."""
-        told = "; ".join(str(problem) for problem in self.problems[:MAX_PROBLEMS])
+        listed = "; ".join(str(problem) for problem in self.problems[:MAX_PROBLEMS])
         more = len(self.problems) - MAX_PROBLEMS
-        return f"{told}; and {more} more" if more > 0 else told
+        return f"{listed}; and {more} more" if more > 0 else listed
 
 
 class ParsedConfiguration(Struct, frozen=True):
@@ -63,7 +63,7 @@
 Checked = ParsedConfiguration | InvalidConfiguration
 
 
-def check_whole(body: bytes, current_version: int) -> Checked:
+def check_full_configuration(body: bytes, current_version: int) -> Checked:
     """Check a whole configuration (PUT) that would follow `current_version`."""
     document = _read(body)
     if isinstance(document, InvalidConfiguration):
@@ -81,7 +81,7 @@
     if isinstance(sent, InvalidConfiguration):
         return sent
     change = _without_null(sent)
-    problems = tuple(_problems_by(_CHANGE, change))
+    problems = tuple(_problems_of(_CHANGE, change))
     if problems:
         return InvalidConfiguration(problems)
     merged = _merge(change, current.raw if current else {"routes": [], "services": []})
@@ -129,7 +129,7 @@
 # ---- one field
 
 
-def _whole_number(value: object) -> object:
+def _integer(value: object) -> object:
     return value if type(value) is int else t.DataError("must be a whole number")
 
 
@@ -139,15 +139,15 @@
     return value if type(value) is int else t.DataError("must be a number")
 
 
-def _truth(value: object) -> object:
+def _boolean(value: object) -> object:
     return value if type(value) is bool else t.DataError("must be true or false")
 
 
-def _text(value: object) -> object:
+def _string(value: object) -> object:
     return value if type(value) is str else t.DataError("must be a text")
 
 
-def _named(value: object) -> object:
+def _non_empty_string(value: object) -> object:
     return value if type(value) is str and value else t.DataError("must be a text that is not empty")
 
 
@@ -155,11 +155,11 @@
     return value if type(value) is str and value.startswith("/") else t.DataError("must be a path that begins with /")
 
 
-def _not_negative(value: Any) -> object:
+def _non_negative(value: Any) -> object:
     return value if value >= 0 else t.DataError("must not be negative")
 
 
-def _above_zero(value: Any) -> object:
+def _positive(value: Any) -> object:
     return value if value > 0 else t.DataError("must be above 0")
 
 
@@ -173,17 +173,17 @@
 
 # ---- the documents
 
-_VERSION = t.Call(_whole_number) & _above_zero & _fits_version
-_COUNT = t.Call(_whole_number) & _not_negative
-_AMOUNT = t.Call(_number) & _not_negative
+_VERSION = t.Call(_integer) & _positive & _fits_version
+_COUNT = t.Call(_integer) & _non_negative
+_AMOUNT = t.Call(_number) & _non_negative
 
 _ROUTE = t.Dict(
     {
-        t.Key("name"): _named,
-        t.Key("host"): _named,
+        t.Key("name"): _non_empty_string,
+        t.Key("host"): _non_empty_string,
         t.Key("pathPrefix"): _path,
-        t.Key("service"): _named,
-        t.Key("timeoutMs"): t.Call(_number) & _above_zero,
+        t.Key("service"): _non_empty_string,
+        t.Key("timeoutMs"): t.Call(_number) & _positive,
         _optional("priority"): _COUNT,
         _optional("maxAttempts"): _COUNT,
         _optional("stretch"): _AMOUNT,
@@ -193,10 +193,10 @@
 
 _SERVICE = t.Dict(
     {
-        t.Key("name"): _named,
-        _optional("healthPath"): _text,
+        t.Key("name"): _non_empty_string,
+        _optional("healthPath"): _string,
         _optional("maxConnections"): _COUNT,
-        _optional("preconditions"): _truth,
+        _optional("preconditions"): _boolean,
     }
 ).allow_extra("*")
 
@@ -245,19 +245,19 @@
     return check
 
 
-def _only_whole(_: object) -> object:
+def _only_in_full_configuration(_: object) -> object:
     return t.DataError("belongs into a whole configuration; a change has upsert and remove")
 
 
-_PARTS = ("upsert", "remove")  # what a change says of named items
-_ITEM = t.Dict({t.Key("name"): _named}).allow_extra("*")
+_CHANGE_FIELDS = ("upsert", "remove")  # what a change says of named items
+_ITEM = t.Dict({t.Key("name"): _non_empty_string}).allow_extra("*")
 _CHANGE = t.Dict(
     {
         t.Key("version"): _VERSION,
         _optional("upsert"): _by_collection(t.List(_ITEM) & _distinct_items),
-        _optional("remove"): _by_collection(t.List(t.Call(_named))),
-        _optional("routes"): _only_whole,
-        _optional("services"): _only_whole,
+        _optional("remove"): _by_collection(t.List(t.Call(_non_empty_string))),
+        _optional("routes"): _only_in_full_configuration,
+        _optional("services"): _only_in_full_configuration,
     }
 ).allow_extra("*")
 
@@ -269,27 +269,27 @@
     try:
         document = msgspec.json.decode(body)
     except (msgspec.DecodeError, RecursionError) as error:
-        return _invalid(WHOLE, f"cannot be read as JSON: {error}")
+        return _invalid(WHOLE_DOCUMENT, f"cannot be read as JSON: {error}")
     if not isinstance(document, dict):
-        return _invalid(WHOLE, "must be a JSON object")
+        return _invalid(WHOLE_DOCUMENT, "must be a JSON object")
     return document
 
 
 def _without_null(change: JsonObject) -> JsonObject:
     """The change less those of its lists that are null, as some encoders write an empty list."""
-    told = {name: value for name, value in change.items() if name not in _PARTS or value is not None}
-    for part in _PARTS:
-        if isinstance(told.get(part), dict):
-            told[part] = {name: items for name, items in told[part].items() if items is not None}
-    return told
+    listed = {name: value for name, value in change.items() if name not in _CHANGE_FIELDS or value is not None}
+    for part in _CHANGE_FIELDS:
+        if isinstance(listed.get(part), dict):
+            listed[part] = {name: items for name, items in listed[part].items() if items is not None}
+    return listed
 
 
 def _merge(change: JsonObject, current: JsonObject) -> JsonObject:
-    merged = current | {name: value for name, value in change.items() if name not in _PARTS}
+    merged = current | {name: value for name, value in change.items() if name not in _CHANGE_FIELDS}
     for collection, names in change.get("remove", {}).items():
-        merged[collection] = _without(_items(merged, collection), names)
+        merged[collection] = _without_named(_items(merged, collection), names)
     for collection, items in change.get("upsert", {}).items():
-        merged[collection] = _with(_items(merged, collection), items)
+        merged[collection] = _upserted_into(_items(merged, collection), items)
     return merged
 
 
@@ -299,11 +299,11 @@
     return [item for item in found if isinstance(item, dict)] if isinstance(found, list) else []
 
 
-def _without(items: list[JsonObject], names: list[str]) -> list[JsonObject]:
+def _without_named(items: list[JsonObject], names: list[str]) -> list[JsonObject]:
     return [item for item in items if item.get("name") not in names]
 
 
-def _with(items: list[JsonObject], upserted: list[JsonObject]) -> list[JsonObject]:
+def _upserted_into(items: list[JsonObject], upserted: list[JsonObject]) -> list[JsonObject]:
     """`items` with those replaced in place that `upserted` names, and the others of it at the end."""
     by_name = {item["name"]: item for item in upserted}
     replaced = [by_name.pop(item.get("name"), item) for item in items]
@@ -311,13 +311,13 @@
 
 
 def _check_document(document: JsonObject, body: bytes, current_version: int) -> Checked:
-    problems = tuple(_problems_by(_DOCUMENT, document)) or tuple(_problems_as_a_whole(document, current_version))
+    problems = tuple(_problems_of(_DOCUMENT, document)) or tuple(_consistency_problems(document, current_version))
     if problems:
         return InvalidConfiguration(problems)
     return ParsedConfiguration(document, body, _typed(document))
 
 
-def _problems_as_a_whole(document: JsonObject, current_version: int) -> Iterator[Problem]:
+def _consistency_problems(document: JsonObject, current_version: int) -> Iterator[Problem]:
     """What only shows when fields that are each well are looked at together."""
     if document["version"] <= current_version:
         yield Problem("version", f"must be above the current one, {current_version}")
@@ -325,7 +325,7 @@
         for index in _repeated_names(document[collection]):
             yield Problem(f"{collection}[{index}].name", "is used twice")
     yield from _unknown_services(document)
-    yield from _shared_places(document["routes"])
+    yield from _shared_prefixes(document["routes"])
 
 
 def _unknown_services(document: JsonObject) -> Iterator[Problem]:
@@ -335,11 +335,11 @@
             yield Problem(f"routes[{index}].service", f"no service is named {route['service']!r}")
 
 
-def _shared_places(routes: list[JsonObject]) -> Iterator[Problem]:
-    first_by_place: dict[tuple[str, str], str] = {}
+def _shared_prefixes(routes: list[JsonObject]) -> Iterator[Problem]:
+    first_by_prefix: dict[tuple[str, str], str] = {}
     for index, route in enumerate(routes):
-        place = route["host"].lower(), route["pathPrefix"]
-        first = first_by_place.setdefault(place, route["name"])
+        location = route["host"].lower(), route["pathPrefix"]
+        first = first_by_prefix.setdefault(location, route["name"])
         if first != route["name"]:
             yield Problem(f"routes[{index}].pathPrefix", f"host and prefix are those of route {first!r}")
 
@@ -355,24 +355,24 @@
     return repeated
 
 
-def _invalid(place: str, reason: str) -> InvalidConfiguration:
-    return InvalidConfiguration((Problem(place, reason),))
+def _invalid(location: str, reason: str) -> InvalidConfiguration:
+    return InvalidConfiguration((Problem(location, reason),))
 
 
-def _problems_by(rule: t.Trafaret, document: JsonObject) -> Iterator[Problem]:
+def _problems_of(rule: t.Trafaret, document: JsonObject) -> Iterator[Problem]:
     try:
         rule.check(document)
     except t.DataError as error:
         yield from _flatten(error.as_dict(), "")
 
 
-def _flatten(error: object, place: str) -> Iterator[Problem]:
+def _flatten(error: object, location: str) -> Iterator[Problem]:
     """The leaves of trafaret's tree of errors, each with its place."""
     if not isinstance(error, dict):
-        yield Problem(place or WHOLE, str(error))
+        yield Problem(location or WHOLE_DOCUMENT, str(error))
         return
     for key, inner in error.items():
-        joined = f"{place}[{key}]" if isinstance(key, int) else f"{place}.{key}".lstrip(".")
+        joined = f"{location}[{key}]" if isinstance(key, int) else f"{location}.{key}".lstrip(".")
         yield from _flatten(inner, joined)
 
 
--- a/pipitledge/configuration/keeper.py
+++ b/pipitledge/configuration/configuration_service.py
@@ -2,7 +2,7 @@
 
 Writes are pipelined: an order builds on the change written last, committed or not. No answer that rests on a write
 leaves before that write is committed, and a refusal leaves only while this node surely is the primary, as another one
-may have taken the very order that is refused here.
+may have known_change the very order that is refused here.
 """
 
 from __future__ import annotations
@@ -53,8 +53,8 @@
 Listener = Callable[[Configuration], None]
 
 
-class _Taken(Struct):
-    """The answer to an order that was taken."""
+class _Accepted(Struct):
+    """The answer to an order that was known_change."""
 
     version: int
 
@@ -66,7 +66,7 @@
 
 
 @dataclass
-class _Tenure:
+class _TermState:
     """What the keeper knows while its node is primary."""
 
     written: ParsedConfiguration | None = None  # by the last write, committed or not
@@ -81,7 +81,7 @@
         return self.written.version if self.written else 0
 
 
-class ConfigurationKeeper:
+class ConfigurationService:
     """Takes the operators' orders and answers pulls, while its node is primary."""
 
     def __init__(self, replicator: Replicator, log: EventLog, usage: UsageSource | None = None) -> None:
@@ -90,7 +90,7 @@
         self._log = log
         self._usage = usage
         self._listeners: list[Listener] = []
-        self._tenure: _Tenure | None = None
+        self._term_state: _TermState | None = None
 
     def register(self, handlers: Handlers) -> None:
         """Answer operators' calls and pulls."""
@@ -107,130 +107,130 @@
 
     def current(self) -> Configuration | None:
         """The configuration in force: the last one committed; None if there is none, or this node isn't primary."""
-        committed = self._tenure.committed if self._tenure else None
+        committed = self._term_state.committed if self._term_state else None
         return committed.configuration if committed else None
 
     # ---- PrimaryService
 
     def activated(self, term: int, state: Mapping[str, bytes]) -> None:
         """Take over what replicated state holds."""
-        tenure = self._tenure = _Tenure()
+        term_state = self._term_state = _TermState()
         records = [decode_record(value, ChangeRecord) for key, value in state.items() if key.startswith(CHANGE_PREFIX)]
         for record in sorted(records, key=lambda record: record.order):
-            tenure.changes[record.digest] = record
-            tenure.next_order = record.order + 1
+            term_state.changes[record.digest] = record
+            term_state.next_order = record.order + 1
         body = state.get(CONFIGURATION_KEY)
         if body is not None:
             parsed = checks.parse_accepted(decode_record(body, ConfigurationRecord).body)
-            tenure.written = tenure.committed = parsed
-            tenure.transfers.renew(parsed.version, parsed.body)
-            self._tell(parsed)
-        self._log.info("configuration_taken_over", term=term, version=tenure.version, changes=len(records))
+            term_state.written = term_state.committed = parsed
+            term_state.transfers.publish(parsed.version, parsed.body)
+            self._notify_listeners(parsed)
+        self._log.info("configuration_taken_over", term=term, version=term_state.version, changes=len(records))
 
     def deactivated(self) -> None:
         """Forget everything; orders that wait for a commit get no answer from here."""
-        self._tenure = None
+        self._term_state = None
 
     # ---- operators' calls
 
     def operator_call(self, call: OperatorCall, reply: Reply) -> None:
         """Carry out one call of an operator."""
-        tenure = self._serving()
-        if tenure is None:
+        term_state = self._active_term()
+        if term_state is None:
             reply(NotPrimary(self._replicator.view))
         elif call.method == "GET":
-            self._read(tenure, reply)
+            self._read(term_state, reply)
         elif call.method in ("PUT", "PATCH"):
-            self._change(tenure, call, reply)
+            self._change(term_state, call, reply)
         else:
             reply(_refusal(METHOD_NOT_ALLOWED, f"{call.method} is not one of GET, PUT, PATCH"))
 
-    def _read(self, tenure: _Tenure, reply: Reply) -> None:
-        written = tenure.written
+    def _read(self, term_state: _TermState, reply: Reply) -> None:
+        written = term_state.written
         if written is None:
-            self._answer(tenure, reply, _refusal(NOT_FOUND, "there is no configuration yet"))
+            self._reply_after_commit(term_state, reply, _refusal(NOT_FOUND, "there is no configuration yet"))
         else:
-            self._answer(tenure, reply, OperatorReply(OK, written.body))
+            self._reply_after_commit(term_state, reply, OperatorReply(OK, written.body))
 
-    def _change(self, tenure: _Tenure, call: OperatorCall, reply: Reply) -> None:
+    def _change(self, term_state: _TermState, call: OperatorCall, reply: Reply) -> None:
         digest = _digest(call)
-        taken = tenure.changes.get(digest)
-        if taken is not None:
-            self._replicator.after_commit(lambda: reply(_acknowledgement(taken.version)))
+        known_change = term_state.changes.get(digest)
+        if known_change is not None:
+            self._replicator.after_commit(lambda: reply(_acknowledgement(known_change.version)))
             return
-        outcome = self._judge(tenure, call)
+        outcome = self._validate(term_state, call)
         if isinstance(outcome, OperatorReply):
             self._log.info("configuration_refused", status=outcome.status, reason=outcome.body.decode())
-            self._answer(tenure, reply, outcome)
+            self._reply_after_commit(term_state, reply, outcome)
             return
-        self._take(tenure, call, digest, outcome, reply)
+        self._write_change(term_state, call, digest, outcome, reply)
 
-    def _judge(self, tenure: _Tenure, call: OperatorCall) -> ParsedConfiguration | OperatorReply:
+    def _validate(self, term_state: _TermState, call: OperatorCall) -> ParsedConfiguration | OperatorReply:
         """The configuration that the call would bring about, or why it doesn't."""
         if len(call.body) > checks.MAX_BODY_BYTES:
             return _refusal(TOO_LARGE, f"the body is above {checks.MAX_BODY_BYTES} bytes")
-        built_on = checks.read_version(call.if_match)
-        if built_on is None:
+        base_version = checks.read_version(call.if_match)
+        if base_version is None:
             return _refusal(BAD_REQUEST, "If-Match: must be a version")
-        if built_on != tenure.version:
-            return _refusal(PRECONDITION_FAILED, f"If-Match: {built_on} is not current, {tenure.version} is")
+        if base_version != term_state.version:
+            return _refusal(PRECONDITION_FAILED, f"If-Match: {base_version} is not current, {term_state.version} is")
         if call.method == "PUT":
-            checked = checks.check_whole(call.body, tenure.version)
+            checked = checks.check_full_configuration(call.body, term_state.version)
         else:
-            checked = checks.check_change(call.body, tenure.written)
+            checked = checks.check_change(call.body, term_state.written)
         if isinstance(checked, InvalidConfiguration):
             return _refusal(BAD_REQUEST, str(checked))
         return checked
 
-    def _take(
-        self, tenure: _Tenure, call: OperatorCall, digest: str, parsed: ParsedConfiguration, reply: Reply
+    def _write_change(
+        self, term_state: _TermState, call: OperatorCall, digest: str, parsed: ParsedConfiguration, reply: Reply
     ) -> None:
         """Write the change; once that is committed, it is in force and acknowledged."""
-        change = ChangeRecord(parsed.version, digest, tenure.next_order)
+        change = ChangeRecord(parsed.version, digest, term_state.next_order)
         writes = [
             Write(CONFIGURATION_KEY, encode_record(ConfigurationRecord(parsed.version, parsed.body))),
             Write(_change_key(change.order), encode_record(change)),
         ]
-        tenure.written = parsed
-        tenure.changes[digest] = change
-        tenure.next_order += 1
-        while len(tenure.changes) > CHANGES_KEPT:
-            _, oldest = tenure.changes.popitem(last=False)
+        term_state.written = parsed
+        term_state.changes[digest] = change
+        term_state.next_order += 1
+        while len(term_state.changes) > CHANGES_KEPT:
+            _, oldest = term_state.changes.popitem(last=False)
             writes.append(Write(_change_key(oldest.order), deleted=True))
 
         def committed() -> None:
-            tenure.committed = parsed
-            tenure.transfers.renew(parsed.version, parsed.body, call.body if call.method == "PATCH" else None)
+            term_state.committed = parsed
+            term_state.transfers.publish(parsed.version, parsed.body, call.body if call.method == "PATCH" else None)
             self._log.info(
                 "configuration_committed",
                 version=parsed.version,
                 routes=len(parsed.configuration.routes),
                 bytes=len(parsed.body),
             )
-            self._tell(parsed)
+            self._notify_listeners(parsed)
             reply(_acknowledgement(parsed.version))
 
         self._replicator.write(writes, committed)
 
-    def _answer(self, tenure: _Tenure, reply: Reply, answer: OperatorReply) -> None:
+    def _reply_after_commit(self, term_state: _TermState, reply: Reply, answer: OperatorReply) -> None:
         """Give an answer that rests on all that was written so far, and on being primary still."""
 
-        def act() -> None:
-            primary = self._serving() is tenure
+        def send() -> None:
+            primary = self._active_term() is term_state
             reply(answer if primary else NotPrimary(self._replicator.view))
 
-        self._replicator.after_commit(act)
+        self._replicator.after_commit(send)
 
     # ---- pulls
 
     def pull(self, request: PullRequest, reply: Reply) -> None:
         """Hand out what the node lacks; only what is committed."""
-        tenure = self._serving()
-        if tenure is None:
+        term_state = self._active_term()
+        if term_state is None:
             reply(NotPrimary(self._replicator.view))
             return
         held = held_versions(request.vector)
-        updates = self._configuration_updates(tenure, held.get(CONFIGURATION_ORIGIN, 0), request)
+        updates = self._configuration_updates(term_state, held.get(CONFIGURATION_ORIGIN, 0), request)
         if self._usage is not None:
             version, payload = self._usage()
             origin = usage_origin(self._replicator.term)
@@ -238,25 +238,25 @@
                 updates.append(Update(origin, version, payload))
         reply(PullReply(self._replicator.term, updates, self._replicator.view))
 
-    def _configuration_updates(self, tenure: _Tenure, held: int, request: PullRequest) -> list[Update]:
-        committed = tenure.committed
+    def _configuration_updates(self, term_state: _TermState, held: int, request: PullRequest) -> list[Update]:
+        committed = term_state.committed
         if request.takes_pieces or committed is None:
-            return tenure.transfers.updates(held, request.partial)
+            return term_state.transfers.updates(held, request.partial)
         return [Update(CONFIGURATION_ORIGIN, committed.version, committed.body)] if committed.version > held else []
 
     # ---- common
 
-    def _serving(self) -> _Tenure | None:
+    def _active_term(self) -> _TermState | None:
         """What is known, if this node surely is the primary now."""
-        return self._tenure if self._replicator.is_primary() else None
+        return self._term_state if self._replicator.is_primary() else None
 
-    def _tell(self, parsed: ParsedConfiguration) -> None:
+    def _notify_listeners(self, parsed: ParsedConfiguration) -> None:
         for listener in self._listeners:
             listener(parsed.configuration)
 
 
 def _acknowledgement(version: int) -> OperatorReply:
-    return OperatorReply(OK, msgspec.json.encode(_Taken(version)))
+    return OperatorReply(OK, msgspec.json.encode(_Accepted(version)))
 
 
 def _refusal(status: int, reason: str) -> OperatorReply:
--- a/pipitledge/configuration/data_plane.py
+++ b/pipitledge/configuration/data_plane.py
@@ -23,21 +23,21 @@
 )
 from pipitledge.configuration.model import Configuration
 from pipitledge.configuration.primary import CallsPrimary
-from pipitledge.configuration.transfer import Received, TransferAssembly
+from pipitledge.configuration.transfer import CompletedTransfer, TransferAssembly
 from pipitledge.membership.primary_caller import Outcome
 from pipitledge.runtime.logs import EventLog
 from pipitledge.runtime.ports import Clock, Timer
 from pipitledge.runtime.settings import Bounds
 from pipitledge.wire.messages import DatasetVersion, PartialTransfer, PullReply, PullRequest, Update
 
-PULL_SECONDS = 0.4  # between pulls, unless a configuration has to be applied sooner than three of them take
+PULL_INTERVAL_SECONDS = 0.4  # between pulls, unless a configuration has to be applied sooner than three of them take
 PULLS_PER_APPLY = 3.0  # so that two pulls may be refused in a row; one that gets no answer takes longer
-JITTER = 0.2  # of the pause, either way: nodes that started together shouldn't call together
-RETRY_SHARE = 0.25  # of the usual pause, after a pull that failed
-LEAST_PAUSE_SECONDS = 0.05
-PATIENCE_SHARE = 0.4  # of the time to apply a configuration, for one pull
-LONGEST_PATIENCE_SECONDS = 1.0
-FAILURES_TOLD = 4  # in a row, before the log tells of them
+JITTER = 0.2  # of the interval, either way: nodes that started together shouldn't call together
+RETRY_INTERVAL_SHARE = 0.25  # of the usual interval, after a pull that failed
+MIN_INTERVAL_SECONDS = 0.05
+PULL_TIMEOUT_SHARE = 0.4  # of the time to apply a configuration, for one pull
+MAX_PULL_TIMEOUT_SECONDS = 1.0
+FAILURES_BEFORE_WARNING = 4  # in a row, before the log tells of them
 
 Listener = Callable[[Configuration], None]
 
@@ -52,8 +52,8 @@
         self._primary_caller = primary_caller
         self._my_name = my_name
         self._log = log
-        self._pause = min(PULL_SECONDS, apply_seconds / PULLS_PER_APPLY)
-        self._patience = min(LONGEST_PATIENCE_SECONDS, apply_seconds * PATIENCE_SHARE)
+        self._interval = min(PULL_INTERVAL_SECONDS, apply_seconds / PULLS_PER_APPLY)
+        self._timeout = min(MAX_PULL_TIMEOUT_SECONDS, apply_seconds * PULL_TIMEOUT_SHARE)
         self._random = random.Random(my_name)
         self._listeners: list[Listener] = []
         self._timer: Timer | None = None
@@ -65,7 +65,7 @@
         self._usage_term = 0
         self._usage_version = -1
         self._usage_at = -math.inf
-        self._contact_at = -math.inf
+        self._last_contact_at = -math.inf
 
     @property
     def configuration(self) -> Configuration | None:
@@ -79,7 +79,7 @@
 
     @property
     def partial(self) -> PartialTransfer | None:
-        """What is held of a newer configuration that has not come whole yet."""
+        """What is current of a newer configuration that has not come whole yet."""
         return self._assembly.partial
 
     @property
@@ -88,13 +88,13 @@
         return self._usage
 
     @property
-    def usage_mark(self) -> tuple[int, int]:
+    def usage_revision(self) -> tuple[int, int]:
         """The term and the version of `usage`: another mark is another count."""
         return self._usage_term, self._usage_version
 
     def age_s(self) -> float:
         """Seconds since a pull that the primary answered was sent: all that is known is that old at most."""
-        return self._clock.now() - self._contact_at
+        return self._clock.now() - self._last_contact_at
 
     def usage_age_s(self) -> float:
         """Seconds since the pull was sent that last told or confirmed `usage`."""
@@ -118,7 +118,7 @@
     def _pull(self) -> None:
         sent_at = self._clock.now()
         request = PullRequest(self._my_name, self._vector(), self._assembly.partial, takes_pieces=True)
-        self._primary_caller.call(request, self._patience, lambda outcome: self._pulled(sent_at, outcome))
+        self._primary_caller.call(request, self._timeout, lambda outcome: self._on_outcome(sent_at, outcome))
 
     def _vector(self) -> list[DatasetVersion]:
         vector = list[DatasetVersion]()
@@ -128,36 +128,36 @@
             vector.append(DatasetVersion(usage_origin(self._usage_term), self._usage_version))
         return vector
 
-    def _pulled(self, sent_at: float, outcome: Outcome) -> None:
+    def _on_outcome(self, sent_at: float, outcome: Outcome) -> None:
         reply = outcome.reply
         try:
             if isinstance(reply, PullReply):
-                self._take_reply(sent_at, reply)
+                self._apply_reply(sent_at, reply)
             else:
-                self._note_failure(sent_at)
+                self._record_failure(sent_at)
         finally:  # whatever is wrong with an answer: a node that pulled no more would keep what it has for good
             if self._running:
-                self._pull_after(self._next_pause(answered=isinstance(reply, PullReply)))
+                self._pull_after(self._next_interval(answered=isinstance(reply, PullReply)))
 
-    def _take_reply(self, sent_at: float, reply: PullReply) -> None:
+    def _apply_reply(self, sent_at: float, reply: PullReply) -> None:
         self._failures = 0
-        self._contact_at = sent_at
+        self._last_contact_at = sent_at
         for update in reply.updates:
-            self._take(update)
+            self._apply_update(update)
         if reply.term == self._usage_term:
             self._usage_at = sent_at
 
-    def _next_pause(self, answered: bool) -> float:
+    def _next_interval(self, answered: bool) -> float:
         """Seconds until the next pull; none while a newer configuration is on its way in pieces."""
         if answered and self._assembly.partial is not None:
             return 0.0
-        pause = self._pause if answered else self._pause * RETRY_SHARE
-        return pause * self._random.uniform(1.0 - JITTER, 1.0 + JITTER)
+        interval = self._interval if answered else self._interval * RETRY_INTERVAL_SHARE
+        return interval * self._random.uniform(1.0 - JITTER, 1.0 + JITTER)
 
-    def _note_failure(self, sent_at: float) -> None:
+    def _record_failure(self, sent_at: float) -> None:
         """Tell of pulls that have no answer, at each doubling of their number."""
         self._failures += 1
-        if self._failures >= FAILURES_TOLD and self._failures.bit_count() == 1:
+        if self._failures >= FAILURES_BEFORE_WARNING and self._failures.bit_count() == 1:
             partial = self._assembly.partial
             self._log.warning(
                 "pulls_unanswered",
@@ -167,39 +167,39 @@
                 partial_bytes=partial.offset if partial is not None else 0,
             )
 
-    def _pull_after(self, pause: float) -> None:
-        when = self._clock.now() + max(LEAST_PAUSE_SECONDS, pause)
+    def _pull_after(self, interval: float) -> None:
+        when = self._clock.now() + max(MIN_INTERVAL_SECONDS, interval)
         self._timer = self._clock.at(when, self._pull)
 
-    def _take(self, update: Update) -> None:
+    def _apply_update(self, update: Update) -> None:
         try:
             if update.origin == CONFIGURATION_ORIGIN:
-                self._take_configuration(update)
+                self._apply_configuration(update)
             else:
-                self._take_usage(update)
+                self._apply_usage(update)
         except (ValueError, msgspec.MsgspecError) as error:
             self._log.error("dataset_unreadable", origin=update.origin, version=update.version, reason=error)
 
-    def _take_configuration(self, update: Update) -> None:
+    def _apply_configuration(self, update: Update) -> None:
         if update.total:
-            received = self._assembly.take(update)
+            received = self._assembly.add(update)
         else:
-            received = Received(update.base, update.version, update.payload)
-        held = self._parsed.version if self._parsed else 0
-        if received is None or received.version <= held:
+            received = CompletedTransfer(update.base, update.version, update.payload)
+        current = self._parsed.version if self._parsed else 0
+        if received is None or received.version <= current:
             return
         if received.base == 0:
             parsed = checks.parse_accepted(received.payload)
-        elif self._parsed is not None and received.base == held:
+        elif self._parsed is not None and received.base == current:
             parsed = checks.merge_accepted(received.payload, self._parsed)
         else:
             return
         self._parsed = parsed
-        self._log.info("configuration_applied", version=parsed.version, before=held, bytes=len(received.payload))
+        self._log.info("configuration_applied", version=parsed.version, before=current, bytes=len(received.payload))
         for listener in self._listeners:
             listener(parsed.configuration)
 
-    def _take_usage(self, update: Update) -> None:
+    def _apply_usage(self, update: Update) -> None:
         term = usage_term(update.origin)
         if term is None or (term, update.version) <= (self._usage_term, self._usage_version):
             return
--- a/pipitledge/configuration/datasets.py
+++ b/pipitledge/configuration/datasets.py
@@ -24,24 +24,24 @@
 IDLE_QUEUES = ""  # stands among usages for all queues in which nothing is in flight; no route has that name
 
 
-class QueueFigures(Struct, frozen=True, omit_defaults=True):
+class QueueLoad(Struct, frozen=True, omit_defaults=True):
     """What one queue that is not idle uses."""
 
     inflight: float = 0.0  # slots
     priority: int = 0  # 0 goes first
 
 
-class PoolFigures(Struct, frozen=True, omit_defaults=True):
+class PoolUsage(Struct, frozen=True, omit_defaults=True):
     """The queues that share the workers of one service, and those workers.
 
-    Idle queues are only counted, so that the figures grow with what is in use and not with the configuration: all nodes
+    Idle queues are only counted, so that the load grow with what is in use and not with the configuration: all nodes
     pull them again and again.
     """
 
     capacity: float = 0.0  # slots of all workers
     queue_limit: float = 0.0  # slots that one queue may use, for each turn of the pool's
     queue_reservation: float = 0.0  # slots that are kept for one queue, for each turn of the pool's
-    busy: dict[str, QueueFigures] = {}  # by name of the route
+    busy: dict[str, QueueLoad] = {}  # by name of the route
     idle: dict[int, int] = {}  # how many queues, by priority
     workers: int = 0
     cpu: int = 0  # of a mean worker, as are the next two; thousandths of a core
@@ -49,36 +49,36 @@
     gpu: int = 0
     late_factor: float = 0.0  # up to so many times its objective a job still earns
 
-    def usages(self, priority: int, turns: float = 1.0) -> dict[str, QueueUsage]:
+    def usages(self, priority: int, depth: float = 1.0) -> dict[str, QueueUsage]:
         """The queues that go before or beside a job of that priority, as admission takes them in so many turns."""
-        limit, reservation = self.queue_limit * turns, self.queue_reservation * turns
+        limit, reservation = self.queue_limit * depth, self.queue_reservation * depth
         usages = {
-            name: QueueUsage(figures.inflight, limit, reservation)
-            for name, figures in self.busy.items()
-            if figures.priority <= priority
+            name: QueueUsage(load.inflight, limit, reservation)
+            for name, load in self.busy.items()
+            if load.priority <= priority
         }
         idle = sum(count for level, count in self.idle.items() if level <= priority)
         usages[IDLE_QUEUES] = QueueUsage(0.0, limit, idle * reservation)
         return usages
 
-    def with_more(self, more: Mapping[str, QueueFigures]) -> PoolFigures:
-        """The figures with more in flight in some queues."""
-        if not more:
+    def with_added_load(self, added_loads: Mapping[str, QueueLoad]) -> PoolUsage:
+        """The load with added_loads in flight in some queues."""
+        if not added_loads:
             return self
         busy, idle = dict(self.busy), dict(self.idle)
-        for name, added in more.items():
-            known = busy.get(name)
-            if known is None:
-                idle[added.priority] = max(0, idle.get(added.priority, 0) - 1)
-            before = known.inflight if known is not None else 0.0
-            busy[name] = QueueFigures(before + added.inflight, added.priority)
+        for name, load in added_loads.items():
+            current = busy.get(name)
+            if current is None:
+                idle[load.priority] = max(0, idle.get(load.priority, 0) - 1)
+            before = current.inflight if current is not None else 0.0
+            busy[name] = QueueLoad(before + load.inflight, load.priority)
         return replace(self, busy=busy, idle=idle)
 
 
 class QueueUsageReport(Struct, frozen=True):
     """The payload of the usage dataset: all queues as the primary counts them."""
 
-    pools: dict[str, PoolFigures] = {}  # by name of the service
+    pools: dict[str, PoolUsage] = {}  # by name of the service
     accepted: int = 0  # rises with each job, so that every job taken in makes another report
 
     def encode(self) -> bytes:
--- a/pipitledge/configuration/primary.py
+++ b/pipitledge/configuration/primary.py
@@ -12,5 +12,5 @@
 class CallsPrimary(Protocol):
     """What planes need of `membership.primary_caller.PrimaryCaller`."""
 
-    def call(self, request: Struct, patience_s: float, on_done: OutcomeHandler) -> None:
+    def call(self, request: Struct, timeout_s: float, on_done: OutcomeHandler) -> None:
         """Have the primary answer `request`; `on_done` is called once, within `patience_s` seconds."""
--- a/pipitledge/configuration/transfer.py
+++ b/pipitledge/configuration/transfer.py
@@ -18,8 +18,8 @@
 
 PIECE_BYTES = 24 * 1024  # of one answer; a link of 1 Mbit/s carries it in 0.2 s, where a pull waits for 0.8 s
 CHANGES_KEPT = 64  # the last ones, for nodes that lack only these
-WHOLES_KEPT = 3  # versions of which a node may still fetch the rest
-LARGEST_DATASET = 64 * 1024 * 1024  # bytes, unpacked; more is no configuration
+FULL_VERSIONS_KEPT = 3  # versions of which a node may still fetch the rest
+MAX_DATASET_BYTES = 64 * 1024 * 1024  # bytes, unpacked; more is no configuration
 COMPRESSION_LEVEL = 6
 DIGEST_BYTES = 8
 
@@ -29,10 +29,10 @@
 
 
 class Transfer(Struct, frozen=True):
-    """One version of a dataset on its way, packed: whole, or as a change on top of an earlier version."""
+    """One version of a dataset on its way, packed: full, or as a change on top of an earlier version."""
 
     origin: str
-    base: int  # the version that it changes; 0: it is whole
+    base: int  # the version that it changes; 0: it is full
     version: int
     digest: int  # of `data`
     data: bytes
@@ -49,11 +49,11 @@
             total=len(self.data),
         )
 
-    def offset_of(self, partial: PartialTransfer | None) -> int:
+    def resume_offset(self, partial: PartialTransfer | None) -> int:
         """From where on a node that holds `partial` still needs it."""
-        return partial.offset if partial is not None and self.continues(partial) else 0
+        return partial.offset if partial is not None and self.matches(partial) else 0
 
-    def continues(self, partial: PartialTransfer) -> bool:
+    def matches(self, partial: PartialTransfer) -> bool:
         """Whether `partial` is a part of this very transfer."""
         held = (partial.origin, partial.base, partial.version, partial.digest)
         same = held == (self.origin, self.base, self.version, self.digest)
@@ -73,12 +73,12 @@
         """Nothing is there to hand out."""
         self._origin = origin
         self._version = 0
-        self._wholes: OrderedDict[int, Transfer] = OrderedDict()  # by version, packed when first asked for
+        self._full_transfers: OrderedDict[int, Transfer] = OrderedDict()  # by version, packed when first asked for
         self._payload = b""
         self._changes: deque[Transfer] = deque(maxlen=CHANGES_KEPT)
 
-    def renew(self, version: int, payload: bytes, change: bytes | None = None) -> None:
-        """`version` is in force, `payload` whole; `change` leads there from the version before, if one does."""
+    def publish(self, version: int, payload: bytes, change: bytes | None = None) -> None:
+        """`version` is in force, `payload` full; `change` leads there from the version before, if one does."""
         if change is None or not self._version:
             self._changes.clear()
         else:
@@ -89,51 +89,51 @@
     def updates(self, held: int, partial: PartialTransfer | None) -> list[Update]:
         """The next pieces for a node that holds version `held` and maybe a part of a newer one."""
         updates = list[Update]()
-        room = PIECE_BYTES
-        for transfer in self._missing(held, partial):
-            offset = transfer.offset_of(partial)
-            updates.append(transfer.piece(offset, room))
-            room -= len(updates[-1].payload)
-            if room <= 0:
+        remaining_bytes = PIECE_BYTES
+        for transfer in self._transfers_for(held, partial):
+            offset = transfer.resume_offset(partial)
+            updates.append(transfer.piece(offset, remaining_bytes))
+            remaining_bytes -= len(updates[-1].payload)
+            if remaining_bytes <= 0:
                 break
         return updates
 
-    def _missing(self, held: int, partial: PartialTransfer | None) -> Sequence[Transfer]:
+    def _transfers_for(self, held: int, partial: PartialTransfer | None) -> Sequence[Transfer]:
         """What brings a node from version `held` to the newest one, in order."""
         if held >= self._version:
             return []
-        begun = self._begun(held, partial)
-        if begun is not None:
-            return [begun]
-        whole = self._whole()
+        resumed = self._resumable(held, partial)
+        if resumed is not None:
+            return [resumed]
+        full = self._full_transfer()
         changes = self._changes_after(held)
-        if changes and sum(len(change.data) for change in changes) <= len(whole.data):
+        if changes and sum(len(change.data) for change in changes) <= len(full.data):
             return changes
-        return [whole]
+        return [full]
 
-    def _begun(self, held: int, partial: PartialTransfer | None) -> Transfer | None:
-        """The whole version that the node holds a part of, if it is still here: newer ones must not keep it from it."""
+    def _resumable(self, held: int, partial: PartialTransfer | None) -> Transfer | None:
+        """The full version that the node holds a part of, if it is still here: newer ones must not keep it from it."""
         if partial is None or partial.base or partial.version <= held:
             return None
-        whole = self._wholes.get(partial.version)
-        return whole if whole is not None and whole.continues(partial) else None
+        full = self._full_transfers.get(partial.version)
+        return full if full is not None and full.matches(partial) else None
 
     def _changes_after(self, held: int) -> list[Transfer]:
         """All changes since version `held`; none if they don't reach back to it."""
         bases = [change.base for change in self._changes]
         return list(self._changes)[bases.index(held) :] if held in bases else []
 
-    def _whole(self) -> Transfer:
-        whole = self._wholes.get(self._version)
-        if whole is None:
-            whole = self._wholes[self._version] = pack(self._origin, 0, self._version, self._payload)
-            if len(self._wholes) > WHOLES_KEPT:
-                self._wholes.popitem(last=False)
-        return whole
+    def _full_transfer(self) -> Transfer:
+        full = self._full_transfers.get(self._version)
+        if full is None:
+            full = self._full_transfers[self._version] = pack(self._origin, 0, self._version, self._payload)
+            if len(self._full_transfers) > FULL_VERSIONS_KEPT:
+                self._full_transfers.popitem(last=False)
+        return full
 
 
-class Received(Struct, frozen=True):
-    """A transfer that has come whole, unpacked."""
+class CompletedTransfer(Struct, frozen=True):
+    """A transfer that has come full, unpacked."""
 
     base: int
     version: int
@@ -156,7 +156,7 @@
             return None
         return PartialTransfer(first.origin, first.base, first.version, first.digest, len(self._data))
 
-    def take(self, update: Update) -> Received | None:
+    def add(self, update: Update) -> CompletedTransfer | None:
         """Add a piece; the transfer if it is complete now. Raises `TransferError` if it can't be unpacked."""
         if update.offset == 0:
             self._first = update
@@ -168,10 +168,10 @@
         if len(self._data) < update.total:
             return None
         data = bytes(self._data)
-        self.drop()
-        return Received(update.base, update.version, _unpack(data, update))
+        self.reset()
+        return CompletedTransfer(update.base, update.version, _unpack(data, update))
 
-    def drop(self) -> None:
+    def reset(self) -> None:
         """Forget what is held."""
         self._first = None
         self._data.clear()
@@ -186,11 +186,11 @@
         raise TransferError(f"version {update.version}: the pieces are not those that were announced")
     unpacker = zlib.decompressobj()
     try:
-        payload = unpacker.decompress(data, LARGEST_DATASET)
+        payload = unpacker.decompress(data, MAX_DATASET_BYTES)
     except zlib.error as error:
         raise TransferError(f"version {update.version}: {error}") from error
     if not unpacker.eof:
-        raise TransferError(f"version {update.version}: cut short, or above {LARGEST_DATASET} bytes")
+        raise TransferError(f"version {update.version}: cut short, or above {MAX_DATASET_BYTES} bytes")
     return payload
 
 
--- a/pipitledge/emulator/cluster/site.py
+++ b/pipitledge/emulator/cluster/site.py
@@ -7,20 +7,20 @@
 from dataclasses import dataclass, field
 
 from pipitledge.agent.agent import Agent, AgentIdentity
+from pipitledge.configuration.configuration_service import ConfigurationService
 from pipitledge.configuration.data_plane import DataPlane
-from pipitledge.configuration.keeper import ConfigurationKeeper
 from pipitledge.emulator.cluster.deployment import HEARTBEAT_MS, ZONES, Deployment, WorkerPlan
 from pipitledge.emulator.cluster.virtual import Machine, Process, World
 from pipitledge.emulator.cluster.worker import Gangs, ModelCalls, ModelWorker, Onlooker
-from pipitledge.ingress.control_front import ControlFront
+from pipitledge.ingress.control_plane_api import ControlPlaneApi
 from pipitledge.ingress.ingress import Ingress
 from pipitledge.ingress.local_admission import LocalAdmission
 from pipitledge.ingress.readiness import Readiness
-from pipitledge.ingress.redirect import BITS_PER_BYTE, BITS_PER_MEGABIT, LargeAnswers
-from pipitledge.membership.detours import Detours
-from pipitledge.membership.founding_gate import FoundingGate
+from pipitledge.ingress.redirect import BITS_PER_BYTE, BITS_PER_MEGABIT, LargeAnswerRedirects
+from pipitledge.membership.bootstrap_gate import BootstrapGate
 from pipitledge.membership.membership import Membership, internal_addresses
 from pipitledge.membership.primary_caller import PrimaryCaller
+from pipitledge.membership.relayed_calls import RelayedCalls
 from pipitledge.replication.initial_members import register_diskless_seed
 from pipitledge.replication.interface import PrimaryService
 from pipitledge.replication.quorum import Tolerance
@@ -78,7 +78,7 @@
 
     process: Process
     ingress: Ingress
-    control: ControlFront
+    control: ControlPlaneApi
     readiness: Readiness
     replica: Replica | None = None
 
@@ -181,37 +181,39 @@
         name, counted = process.machine.name, process.machine.name in self.deployment.counted
         log = self._log(name)
         membership = self._membership(process, counted, bootstrap and counted, "edge")
-        detours = _detours(process, membership)
-        replica = self._build_control(process, membership, detours, bootstrap) if counted else None
+        relayed_calls = _relayed_calls(process, membership)
+        replica = self._build_control(process, membership, relayed_calls, bootstrap) if counted else None
         if replica is None:
             register_diskless_seed(process.handlers, process.machine.address, bootstrap, membership)
         local = process.handlers.call if counted else None
         randomness = random.Random(process.random.random())
         caller = PrimaryCaller(
-            process.clock, process.network, membership, randomness, local, name, None if counted else detours
+            process.clock, process.network, membership, randomness, local, name, None if counted else relayed_calls
         )
         data_plane = DataPlane(process.clock, caller, name, log, self.deployment.bounds)
         readiness = Readiness(data_plane)
         admission = LocalAdmission(data_plane)
         ingress = Ingress(caller, data_plane, admission, readiness, name, log)
-        control = ControlFront(process.clock, caller, log, self._large_answers(membership, process.machine))
+        control = ControlPlaneApi(process.clock, caller, log, self._large_answer_redirects(membership, process.machine))
         self.nodes[name] = NodePlanes(process, ingress, control, readiness, replica)
         membership.start()
         if replica is not None:
             replica.start()
         data_plane.start()
 
-    def _large_answers(self, membership: Membership, machine: Machine) -> LargeAnswers:
+    def _large_answer_redirects(self, membership: Membership, machine: Machine) -> LargeAnswerRedirects:
         link = self.world.network.links.get(machine.name)
         mbps = link.bytes_per_s * BITS_PER_BYTE / BITS_PER_MEGABIT if link is not None else WIDE_LINK_MBPS
-        return LargeAnswers(membership, machine.name, f"{self._ip(machine.name)}:{CONTROL_PORT}", mbps)
+        return LargeAnswerRedirects(membership, machine.name, f"{self._ip(machine.name)}:{CONTROL_PORT}", mbps)
 
     def node_at(self, location: str) -> str:
         """The node that takes operators' calls at a URL; empty if none does."""
         ip = location.removeprefix("http://").partition(":")[0]
         return next((name for name in self.deployment.edges if self._ip(name) == ip), "")
 
-    def _build_control(self, process: Process, membership: Membership, detours: Detours, bootstrap: bool) -> Replica:
+    def _build_control(
+        self, process: Process, membership: Membership, relayed_calls: RelayedCalls, bootstrap: bool
+    ) -> Replica:
         machine, log = process.machine, self._log(process.machine.name)
         services: list[PrimaryService] = []
         replica = Replica(
@@ -227,19 +229,19 @@
             services,
             log,
             internal_addresses(self._seeds, INTERNAL_PORT),
-            FoundingGate(process.clock, membership, len(self._seeds)).open,
+            BootstrapGate(process.clock, membership, len(self._seeds)).open,
         )
-        keeper = ConfigurationKeeper(replica, log)
-        ports = Ports(process.clock, detours, replica, keeper.current, process.clock.wall_ms, log)
+        configuration_service = ConfigurationService(replica, log)
+        ports = Ports(process.clock, relayed_calls, replica, configuration_service.current, process.clock.wall_ms, log)
         figures = Figures(self.deployment.bounds, HEARTBEAT_MS / 1_000.0)
 
         def agents() -> list[str]:
             return [node.address for node in membership.nodes() if node.machine_class == AGENTS_CLASS]
 
         scheduler = Scheduler(ports, figures, Node(machine.name, machine.address), agents)
-        keeper.publish_usage(scheduler.usage)
-        services += [keeper, scheduler]
-        for plane in (replica, keeper, scheduler):
+        configuration_service.publish_usage(scheduler.usage)
+        services += [configuration_service, scheduler]
+        for plane in (replica, configuration_service, scheduler):
             plane.register(process.handlers)
         return replica
 
@@ -247,8 +249,10 @@
         machine = process.machine
         membership = self._membership(process, False, False, AGENTS_CLASS)
         randomness = random.Random(process.random.random())
-        detours = _detours(process, membership)
-        caller = PrimaryCaller(process.clock, process.network, membership, randomness, None, machine.name, detours)
+        relayed_calls = _relayed_calls(process, membership)
+        caller = PrimaryCaller(
+            process.clock, process.network, membership, randomness, None, machine.name, relayed_calls
+        )
         identity = AgentIdentity(
             machine.name,
             machine.address,
@@ -273,12 +277,12 @@
         agent.start()
 
 
-def _detours(process: Process, membership: Membership) -> Detours:
+def _relayed_calls(process: Process, membership: Membership) -> RelayedCalls:
     """Calls by way of relays, for one process."""
     randomness = random.Random(process.random.random())
-    detours = Detours(process.clock, process.network, membership, process.handlers, randomness)
-    detours.register()
-    return detours
+    relayed_calls = RelayedCalls(process.clock, process.network, membership, process.handlers, randomness)
+    relayed_calls.register()
+    return relayed_calls
 
 
 def _nothing(_process: Process) -> None:
--- a/pipitledge/ingress/control_front.py
+++ b/pipitledge/ingress/control_plane_api.py
@@ -7,9 +7,9 @@
 
 from pipitledge.configuration.checks import MAX_BODY_BYTES
 from pipitledge.configuration.primary import CallsPrimary
-from pipitledge.ingress.outcomes import Answer, failure, unavailable, unknown
-from pipitledge.ingress.redirect import LargeAnswers
-from pipitledge.membership.primary_caller import Outcome, passage_s
+from pipitledge.ingress.outcomes import Answer, error_answer, outcome_unknown, unavailable
+from pipitledge.ingress.redirect import LargeAnswerRedirects
+from pipitledge.membership.primary_caller import Outcome, transfer_time_s
 from pipitledge.runtime.logs import EventLog
 from pipitledge.runtime.ports import Clock
 from pipitledge.wire.messages import OperatorCall, OperatorReply
@@ -17,13 +17,13 @@
 
 METHODS = ("GET", "PUT", "PATCH")
 # Callers move on after a second of silence, later where they sent much; an answer that comes before that is heard.
-PATIENCE_SECONDS = 0.85
-MOST_CALLS = 32  # in progress at once; operators have eight at most
+OPERATOR_CALL_TIMEOUT_SECONDS = 0.85
+MAX_CALLS_IN_PROGRESS = 32  # in progress at once; operators have eight at most
 
 Respond = Callable[[int, bytes, str], None]  # status, body, where to call instead ("": nowhere)
 
 
-class ControlFront:
+class ControlPlaneApi:
     """Takes the operator's calls at this node.
 
     A status of 4xx ends an order for its sender, so it is given only by the primary or where the call itself is wrong
@@ -31,24 +31,28 @@
     """
 
     def __init__(
-        self, clock: Clock, primary_caller: CallsPrimary, log: EventLog, large_answers: LargeAnswers | None = None
+        self,
+        clock: Clock,
+        primary_caller: CallsPrimary,
+        log: EventLog,
+        large_answer_redirects: LargeAnswerRedirects | None = None,
     ) -> None:
         """Hand calls to `primary_caller`; `large_answers` tells which answers callers are sent to the primary for."""
         self._clock = clock
-        self._large_answers = large_answers
+        self._large_answer_redirects = large_answer_redirects
         self._primary_caller = primary_caller
         self._log = log
         self._in_progress = 0
 
     def call(self, method: str, path: str, if_match: str, body: bytes, respond: Respond) -> None:
         """Answer any call to the address."""
-        bare = path.partition("?")[0]
-        if bare == CONFIGURATION_PATH:
+        path_only = path.partition("?")[0]
+        if path_only == CONFIGURATION_PATH:
             self.operator_call(method, if_match, body, respond)
-        elif bare.startswith(INSTANCES_PREFIX):
+        elif path_only.startswith(INSTANCES_PREFIX):
             _send(respond, unavailable("a worker's heartbeats are taken on its own machine only"))
         else:
-            _send(respond, failure(HTTPStatus.NOT_FOUND, f"nothing is at {bare}"))
+            _send(respond, error_answer(HTTPStatus.NOT_FOUND, f"nothing is at {path_only}"))
 
     def operator_call(self, method: str, if_match: str, body: bytes, respond: Respond) -> None:
         """Answer one call of an operator by `respond`, now or later."""
@@ -59,25 +63,27 @@
         self._in_progress += 1
         request = OperatorCall(method, if_match, body)
         sent_at = self._clock.now()
-        patience = PATIENCE_SECONDS + passage_s(request)
-        self._primary_caller.call(request, patience, lambda outcome: self._ended(request, sent_at, outcome, respond))
+        timeout = OPERATOR_CALL_TIMEOUT_SECONDS + transfer_time_s(request)
+        self._primary_caller.call(
+            request, timeout, lambda outcome: self._on_outcome(request, sent_at, outcome, respond)
+        )
 
     def _early_refusal(self, method: str, body: bytes) -> Answer | None:
         if method not in METHODS:
-            return failure(HTTPStatus.METHOD_NOT_ALLOWED, f"{method} is not one of {', '.join(METHODS)}")
+            return error_answer(HTTPStatus.METHOD_NOT_ALLOWED, f"{method} is not one of {', '.join(METHODS)}")
         if len(body) > MAX_BODY_BYTES:
-            return failure(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"the body is above {MAX_BODY_BYTES} bytes")
-        if self._in_progress >= MOST_CALLS:
+            return error_answer(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"the body is above {MAX_BODY_BYTES} bytes")
+        if self._in_progress >= MAX_CALLS_IN_PROGRESS:
             return unavailable("too many calls in progress")
         return None
 
-    def _ended(self, request: OperatorCall, sent_at: float, outcome: Outcome, respond: Respond) -> None:
+    def _on_outcome(self, request: OperatorCall, sent_at: float, outcome: Outcome, respond: Respond) -> None:
         self._in_progress -= 1
         reply = outcome.reply
         if isinstance(reply, OperatorReply):
-            answer = self._sent_from_here(request, Answer(reply.status, reply.body))
+            answer = self._redirect_if_large(request, Answer(reply.status, reply.body))
         elif outcome.may_have_run and request.method != "GET":
-            answer = unknown("the primary gave no answer")
+            answer = outcome_unknown("the primary gave no answer")
         else:
             answer = unavailable("no primary answers")
         self._log.info(
@@ -90,14 +96,14 @@
         )
         _send(respond, answer)
 
-    def _sent_from_here(self, request: OperatorCall, answer: Answer) -> Answer:
+    def _redirect_if_large(self, request: OperatorCall, answer: Answer) -> Answer:
         """The answer, or where to get it if it would take too long on this machine's link.
 
         Only a read is redirected: an order has been carried out by then, and its answers are short.
         """
-        if self._large_answers is None or request.method != "GET":
+        if self._large_answer_redirects is None or request.method != "GET":
             return answer
-        location = self._large_answers.location(len(answer.body), CONFIGURATION_PATH)
+        location = self._large_answer_redirects.location(len(answer.body), CONFIGURATION_PATH)
         return Answer(HTTPStatus.TEMPORARY_REDIRECT, location=location) if location else answer
 
 
--- a/pipitledge/ingress/ingress.py
+++ b/pipitledge/ingress/ingress.py
@@ -11,20 +11,20 @@
 from pipitledge.configuration.data_plane import DataPlane
 from pipitledge.configuration.model import Configuration, Route
 from pipitledge.configuration.primary import CallsPrimary
-from pipitledge.ingress.local_admission import Judgement, LocalAdmission
-from pipitledge.ingress.outcomes import Answer, client_answer, failure, is_success, unavailable
+from pipitledge.ingress.local_admission import LocalAdmission, LocalDecision
+from pipitledge.ingress.outcomes import Answer, client_answer, error_answer, is_success, unavailable
 from pipitledge.ingress.readiness import Readiness
 from pipitledge.membership.primary_caller import Outcome
 from pipitledge.runtime.logs import EventLog
 from pipitledge.wire.messages import CallKind, ClientCall
 
-MOST_CALLS = 200  # in progress at once; more would wait longer than their clients
+MAX_CALLS_IN_PROGRESS = 200  # in progress at once; more would wait longer than their clients
 DEFAULT_DEADLINE_MS = 3_000.0  # of a client that names none
 
-# A fail-over takes about 1.2 s, so a call of that patience outlasts one. It may take little more than a third of the
+# A fail-over takes about 1.2 s, so a call of that timeout outlasts one. It may take little more than a third of the
 # client's time: a call given up on is answered at once, and its client has time for two more tries at other nodes.
-PATIENCE_SHARE = 0.35
-LONGEST_PATIENCE_SECONDS = 1.2
+PRIMARY_TIMEOUT_SHARE = 0.35
+MAX_PRIMARY_TIMEOUT_SECONDS = 1.2
 
 _JOB_ID = re.compile(r"[0-9a-fA-F]{16}")
 
@@ -38,7 +38,7 @@
     route: Route | None
     body: bytes
     respond: Respond
-    judgement: Judgement | None = None  # of a job to be submitted
+    local_decision: LocalDecision | None = None  # of a job to be submitted
 
 
 class Ingress:
@@ -92,38 +92,38 @@
         if refusal is not None:
             _send(respond, refusal)
             return
-        self._forward(call, host, path, _patience(deadline_ms))
+        self._forward(call, host, path, _primary_timeout(deadline_ms))
 
     def _early_refusal(self, call: _Call, configuration: Configuration) -> Answer | None:
         """Why the primary needn't be asked, if so."""
-        if self._in_progress >= MOST_CALLS:
+        if self._in_progress >= MAX_CALLS_IN_PROGRESS:
             self._log.warning("call_refused", reason="too many calls in progress", calls=self._in_progress)
             return unavailable("too many calls in progress")
-        most = configuration.limits.max_body_bytes
-        if 0 < most < len(call.body):
-            return failure(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"the body is above {most} bytes")
+        max_body_bytes = configuration.limits.max_body_bytes
+        if 0 < max_body_bytes < len(call.body):
+            return error_answer(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"the body is above {max_body_bytes} bytes")
         return None
 
     def _local_refusal(self, call: _Call, path: str) -> Answer | None:
         """Why a job to be submitted is surely not admitted, if so."""
         if call.kind is not CallKind.SUBMIT or call.route is None:
             return None
-        call.judgement = self._admission.judge(call.route, path[len(call.route.path_prefix) :], call.body)
-        if not call.judgement.refused:
+        call.local_decision = self._admission.evaluate(call.route, path[len(call.route.path_prefix) :], call.body)
+        if not call.local_decision.refused:
             return None
-        self._log.info("job_refused", route=call.route.name, weight=call.judgement.weight)
+        self._log.info("job_refused", route=call.route.name, weight=call.local_decision.weight)
         reason = "the queue may use no more slots"
-        return failure(HTTPStatus.TOO_MANY_REQUESTS, reason, call.judgement.retry_after_ms)
+        return error_answer(HTTPStatus.TOO_MANY_REQUESTS, reason, call.local_decision.retry_after_ms)
 
-    def _forward(self, call: _Call, host: str, path: str, patience: float) -> None:
+    def _forward(self, call: _Call, host: str, path: str, timeout: float) -> None:
         self._in_progress += 1
-        request = ClientCall(call.kind, host, path, call.body, int(patience * 1000), self._my_name)
-        self._primary_caller.call(request, patience, lambda outcome: self._ended(call, outcome))
+        request = ClientCall(call.kind, host, path, call.body, int(timeout * 1000), self._my_name)
+        self._primary_caller.call(request, timeout, lambda outcome: self._on_outcome(call, outcome))
 
-    def _ended(self, call: _Call, outcome: Outcome) -> None:
+    def _on_outcome(self, call: _Call, outcome: Outcome) -> None:
         answer = client_answer(call.kind, outcome)
-        if call.judgement is not None and is_success(answer.status):
-            self._admission.accepted(call.judgement)
+        if call.local_decision is not None and is_success(answer.status):
+            self._admission.accepted(call.local_decision)
         self._in_progress -= 1
         _send(call.respond, answer)
         self._finish_if_idle()
@@ -136,20 +136,20 @@
 
 def _kind(method: str, path: str) -> CallKind | Answer:
     """What a call asks for, by its method and whether its path ends with a job's ID."""
-    names_job = _JOB_ID.fullmatch(path.rpartition("/")[2]) is not None
+    has_job_id = _JOB_ID.fullmatch(path.rpartition("/")[2]) is not None
     if method == "GET":
-        return CallKind.STATE if names_job else CallKind.COUNT
+        return CallKind.STATE if has_job_id else CallKind.COUNT
     if method not in ("POST", "DELETE"):
-        return failure(HTTPStatus.METHOD_NOT_ALLOWED, f"{method} is not one of GET, POST, DELETE")
-    if not names_job:
-        return failure(HTTPStatus.BAD_REQUEST, "the path has to end with an ID of 16 hex digits")
+        return error_answer(HTTPStatus.METHOD_NOT_ALLOWED, f"{method} is not one of GET, POST, DELETE")
+    if not has_job_id:
+        return error_answer(HTTPStatus.BAD_REQUEST, "the path has to end with an ID of 16 hex digits")
     return CallKind.SUBMIT if method == "POST" else CallKind.CANCEL
 
 
-def _patience(deadline_ms: float | None) -> float:
+def _primary_timeout(deadline_ms: float | None) -> float:
     """Seconds that the primary may take."""
     deadline = deadline_ms if deadline_ms is not None and deadline_ms > 0 else DEFAULT_DEADLINE_MS
-    return min(PATIENCE_SHARE * deadline / 1000.0, LONGEST_PATIENCE_SECONDS)
+    return min(PRIMARY_TIMEOUT_SHARE * deadline / 1000.0, MAX_PRIMARY_TIMEOUT_SECONDS)
 
 
 def _send(respond: Respond, answer: Answer) -> None:
--- a/pipitledge/ingress/outcomes.py
+++ b/pipitledge/ingress/outcomes.py
@@ -16,7 +16,7 @@
 
 RETRY_AFTER_MS = 500  # a fail-over takes about twice that; a client's other tries reach other nodes
 
-REFUSALS = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
+REFUSAL_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 class Answer(Struct, frozen=True):
@@ -34,19 +34,19 @@
     error: str
 
 
-def failure(status: int, reason: str, retry_after_ms: int = 0) -> Answer:
+def error_answer(status: int, reason: str, retry_after_ms: int = 0) -> Answer:
     """An answer that tells what is wrong."""
     return Answer(status, msgspec.json.encode(_Error(reason)), retry_after_ms)
 
 
 def unavailable(reason: str) -> Answer:
     """503: not carried out for certain, worth another try soon."""
-    return failure(HTTPStatus.SERVICE_UNAVAILABLE, reason, RETRY_AFTER_MS)
+    return error_answer(HTTPStatus.SERVICE_UNAVAILABLE, reason, RETRY_AFTER_MS)
 
 
-def unknown(reason: str) -> Answer:
+def outcome_unknown(reason: str) -> Answer:
     """504: it may have been carried out, or may be later."""
-    return failure(HTTPStatus.GATEWAY_TIMEOUT, reason)
+    return error_answer(HTTPStatus.GATEWAY_TIMEOUT, reason)
 
 
 def is_success(status: int) -> bool:
@@ -57,20 +57,24 @@
 def client_answer(kind: CallKind, outcome: Outcome) -> Answer:
     """The answer to a client's call."""
     changes_state = kind in (CallKind.SUBMIT, CallKind.CANCEL)
-    doubtful = changes_state and outcome.may_have_run
+    may_have_changed_state = changes_state and outcome.may_have_run
     reply = outcome.reply
     if not isinstance(reply, ClientReply):
-        return unknown("the primary gave no answer") if doubtful else unavailable("no primary answers")
-    if doubtful and _denies(kind, reply.status):
-        return unknown("refused, but an earlier attempt may have been carried out")
+        return (
+            outcome_unknown("the primary gave no answer")
+            if may_have_changed_state
+            else unavailable("no primary answers")
+        )
+    if may_have_changed_state and _reports_not_executed(kind, reply.status):
+        return outcome_unknown("refused, but an earlier attempt may have been carried out")
     retry_after_ms = reply.retry_after_ms
-    if reply.status in REFUSALS and retry_after_ms <= 0:
+    if reply.status in REFUSAL_STATUSES and retry_after_ms <= 0:
         retry_after_ms = RETRY_AFTER_MS
     return Answer(reply.status, reply.body, retry_after_ms)
 
 
-def _denies(kind: CallKind, status: int) -> bool:
+def _reports_not_executed(kind: CallKind, status: int) -> bool:
     """Whether that status says that nothing was done, which an earlier attempt may belie."""
     if kind is CallKind.SUBMIT:
         return not is_success(status)
-    return status in REFUSALS
+    return status in REFUSAL_STATUSES
--- a/pipitledge/ingress/readiness.py
+++ b/pipitledge/ingress/readiness.py
@@ -4,7 +4,7 @@
 
 from pipitledge.configuration.data_plane import DataPlane
 
-CONTACT_SECONDS = 5.0  # without a primary; far longer than a fail-over, through which all nodes would else flap
+MAX_CONTACT_AGE_SECONDS = 5.0  # without a primary; far longer than a fail-over, through which all nodes would else flap
 
 
 class Readiness:
@@ -28,4 +28,4 @@
         """Configured, in contact with a primary, and not about to end."""
         if self._stopping or self._data_plane.configuration is None:
             return False
-        return self._data_plane.age_s() <= CONTACT_SECONDS
+        return self._data_plane.age_s() <= MAX_CONTACT_AGE_SECONDS
--- a/pipitledge/ingress/redirect.py
+++ b/pipitledge/ingress/redirect.py
@@ -5,12 +5,12 @@
 from pipitledge.membership.candidates import primary_of
 from pipitledge.membership.membership import Membership
 
-LONGEST_SENDING_S = 0.3  # of an answer; callers wait for a second in all
+MAX_SEND_SECONDS = 0.3  # of an answer; callers wait for a second in all
 BITS_PER_BYTE = 8
 BITS_PER_MEGABIT = 1_000_000
 
 
-class LargeAnswers:
+class LargeAnswerRedirects:
     """Tells which answers had better come from the primary, and where it takes operators' calls.
 
     All nodes of a deployment take operators' calls at the same port, each at its own address.
@@ -25,7 +25,7 @@
 
     def location(self, size: int, path: str) -> str:
         """The address to send the caller to for an answer of so many bytes; empty where this node should send it."""
-        if self._bytes_per_s <= 0.0 or size / self._bytes_per_s <= LONGEST_SENDING_S:
+        if self._bytes_per_s <= 0.0 or size / self._bytes_per_s <= MAX_SEND_SECONDS:
             return ""
         primary = primary_of(self._membership.view)
         if primary is None or primary.name == self._my_name:
--- a/pipitledge/membership/founding_gate.py
+++ b/pipitledge/membership/bootstrap_gate.py
@@ -9,10 +9,10 @@
 from pipitledge.membership.membership import Membership
 from pipitledge.runtime.ports import Clock
 
-FOUNDING_PATIENCE_SECONDS = 6.0  # after which the system is founded though not all seeds were heard of
+BOOTSTRAP_WAIT_SECONDS = 6.0  # after which the system is founded though not all seeds were heard of
 
 
-class FoundingGate:
+class BootstrapGate:
     """Holds the founding of the system up until all seeds, or after some time more than half, were heard of."""
 
     def __init__(self, clock: Clock, membership: Membership, seeds: int) -> None:
@@ -20,15 +20,15 @@
         self._clock = clock
         self._membership = membership
         self._seeds = seeds
-        self._heard = set[str]()  # seeds; membership may forget them again in a large cluster
-        self._opens_at = clock.now() + FOUNDING_PATIENCE_SECONDS
+        self._discovered = set[str]()  # seeds; membership may forget them again in a large cluster
+        self._opens_at = clock.now() + BOOTSTRAP_WAIT_SECONDS
 
     def open(self) -> bool:
         """Whether the system may be founded."""
-        self._heard |= {node.address for node in self._membership.nodes()}
-        unheard = set(self._membership.seed_addresses()) - self._heard  # this node is not among them
-        if not unheard:
+        self._discovered |= {node.address for node in self._membership.nodes()}
+        undiscovered = set(self._membership.seed_addresses()) - self._discovered  # this node is not among them
+        if not undiscovered:
             return True
-        if 2 * len(unheard) >= self._seeds:
+        if 2 * len(undiscovered) >= self._seeds:
             return False  # an attempt would be in vain
         return self._clock.now() >= self._opens_at
--- a/pipitledge/membership/candidates.py
+++ b/pipitledge/membership/candidates.py
@@ -11,7 +11,7 @@
 from pipitledge.runtime.ports import Clock
 from pipitledge.wire.messages import View
 
-SILENT_AGAIN_S = 1.0
+UNRESPONSIVE_RETRY_S = 1.0
 """A node that did not answer is left out for this long, while others do: each wait for it holds the search up."""
 
 
@@ -41,7 +41,7 @@
         self._membership = membership
         self._random = randomness
         self._asked: set[str] = set()  # addresses, in this round
-        self._silent: dict[str, float] = {}  # addresses that did not answer when asked last, and until when
+        self._unresponsive_until: dict[str, float] = {}  # addresses that did not answer when asked last, and until when
 
     def start(self, failed: Candidate) -> None:
         """Begin a search because `failed`, thought to be the primary, is not or does not answer."""
@@ -50,33 +50,38 @@
     def next(self) -> Candidate | None:
         """Whom to ask now; None at the end of a round."""
         candidates = self._candidates()
-        waiting = [candidate for candidate in candidates if candidate.address not in self._asked]
-        if any(candidate.address not in self._silent for candidate in candidates):
-            waiting = [candidate for candidate in waiting if not self._is_left_out(candidate)]
-        if not waiting:
+        remaining = [candidate for candidate in candidates if candidate.address not in self._asked]
+        if any(candidate.address not in self._unresponsive_until for candidate in candidates):
+            remaining = [candidate for candidate in remaining if not self._is_skipped(candidate)]
+        if not remaining:
             self._asked.clear()
             return None
-        waiting.sort(key=lambda candidate: candidate.address in self._silent)  # stable: the primary stays first
-        self._asked.add(waiting[0].address)
-        return waiting[0]
+        remaining.sort(
+            key=lambda candidate: candidate.address in self._unresponsive_until
+        )  # stable: the primary stays first
+        self._asked.add(remaining[0].address)
+        return remaining[0]
 
-    def learned_view(self) -> None:
+    def on_newer_view(self) -> None:
         """A newer view is known: its primary is asked next, also if it was asked before."""
         primary = primary_of(self._membership.view)
         if primary is not None:
             self._asked.discard(primary.address)
-            self._silent.pop(primary.address, None)
+            self._unresponsive_until.pop(primary.address, None)
 
-    def answered(self, candidate: Candidate) -> None:
+    def mark_responsive(self, candidate: Candidate) -> None:
         """That one is there, though not the primary."""
-        self._silent.pop(candidate.address, None)
+        self._unresponsive_until.pop(candidate.address, None)
 
-    def unanswered(self, candidate: Candidate) -> None:
+    def mark_unresponsive(self, candidate: Candidate) -> None:
         """That one did not answer: it is asked last from now on, and seldom."""
-        self._silent[candidate.address] = self._clock.now() + SILENT_AGAIN_S
+        self._unresponsive_until[candidate.address] = self._clock.now() + UNRESPONSIVE_RETRY_S
 
-    def _is_left_out(self, candidate: Candidate) -> bool:
-        return candidate.address in self._silent and self._clock.now() < self._silent[candidate.address]
+    def _is_skipped(self, candidate: Candidate) -> bool:
+        return (
+            candidate.address in self._unresponsive_until
+            and self._clock.now() < self._unresponsive_until[candidate.address]
+        )
 
     def _candidates(self) -> list[Candidate]:
         """The primary of the newest view, its other members, other counted nodes; seeds where no view is known."""
@@ -86,13 +91,13 @@
         counted = [Candidate(node.address, node.name) for node in self._membership.counted()]
         seeds = [Candidate(address) for address in self._membership.seed_addresses()] if view is None else []
         groups = [[primary] if primary is not None else [], members, counted, seeds]
-        return _without_repetition(candidate for group in groups for candidate in self._shuffled(group))
+        return _deduplicated(candidate for group in groups for candidate in self._shuffled(group))
 
     def _shuffled(self, candidates: list[Candidate]) -> list[Candidate]:
         return self._random.sample(candidates, len(candidates))
 
 
-def _without_repetition(candidates: Iterable[Candidate]) -> list[Candidate]:
+def _deduplicated(candidates: Iterable[Candidate]) -> list[Candidate]:
     first_by_address: dict[str, Candidate] = {}
     for candidate in candidates:
         first_by_address.setdefault(candidate.address, candidate)
--- a/pipitledge/membership/primary_caller.py
+++ b/pipitledge/membership/primary_caller.py
@@ -1,6 +1,6 @@
 """Calls that only the primary answers, sent to whoever it is by now.
 
-While the primary answers, each call goes straight to it. Once it does not, one call (the scout) goes round the
+While the primary answers, each call goes straight to it. Once it does not, one call (the search_call) goes round the
 candidates, and the others wait for what it finds: a change of primary must not multiply the calls.
 """
 
@@ -14,23 +14,23 @@
 from msgspec import Struct
 
 from pipitledge.membership.candidates import Candidate, SearchRounds, primary_of
-from pipitledge.membership.detours import Detours
 from pipitledge.membership.membership import Membership
+from pipitledge.membership.relayed_calls import RelayedCalls
 from pipitledge.runtime.handlers import Reply
 from pipitledge.runtime.ports import Clock, Network, ReplyHandler, Timer
 from pipitledge.wire.messages import NotPrimary, OperatorCall, View
 
-ATTEMPT_S = 0.8
+ATTEMPT_TIMEOUT_S = 0.8
 """Longest wait for one node, but for what a long request takes on its way."""
-LONG_BODY_BYTES_PER_S = 500_000
+EXPECTED_UPLOAD_BYTES_PER_S = 500_000
 """At which a long request is expected to pass the link of a node, packed."""
-SHORTEST_ATTEMPT_S = 0.001
+MIN_ATTEMPT_TIMEOUT_S = 0.001
 """Where patience is all but over; its end does not wait for the attempt's."""
-FIRST_PAUSE_S = 0.03
+INITIAL_BACKOFF_S = 0.03
 """Pause after the first round of a search, or the first repetition of a call."""
-LONGEST_PAUSE_S = 0.25
+MAX_BACKOFF_S = 0.25
 """Pauses double up to this."""
-RELAYED_ATTEMPT_S = 0.4
+RELAYED_ATTEMPT_TIMEOUT_S = 0.4
 """Longest wait for one node by way of a relay, during a search: it may be the node that does not answer."""
 PROBE_INTERVAL_S = 1.0
 """Between looks whether the primary can be reached without the relay again."""
@@ -49,9 +49,9 @@
 OutcomeHandler = Callable[[Outcome], None]
 
 
-def passage_s(request: Struct) -> float:
+def transfer_time_s(request: Struct) -> float:
     """Seconds that a request may be on its way for its length, beside the time that any request may take."""
-    return len(request.body) / LONG_BODY_BYTES_PER_S if isinstance(request, OperatorCall) else 0.0
+    return len(request.body) / EXPECTED_UPLOAD_BYTES_PER_S if isinstance(request, OperatorCall) else 0.0
 
 
 class _Call:
@@ -64,7 +64,7 @@
         self.may_have_run = False
         self.attempt = 0  # rises with whatever happens to the call; what belongs to a former number comes too late
         self.asked: Candidate | None = None  # whose answer is due
-        self.pause = FIRST_PAUSE_S
+        self.backoff = INITIAL_BACKOFF_S
         self.expiry: Timer | None = None
         self.done = False
 
@@ -80,7 +80,7 @@
         randomness: random.Random,
         local: LocalHandler | None = None,
         my_name: str = "",
-        detours: Detours | None = None,
+        relayed_calls: RelayedCalls | None = None,
     ) -> None:
         """A caller in the process `my_name`; `local` answers in place of the network where that is the one to ask.
 
@@ -93,18 +93,20 @@
         self._my_name = my_name
         self._rounds = SearchRounds(clock, membership, randomness)
         self._primary = primary_of(membership.view)  # whom calls go to; None: it is being searched for
-        self._answered_at = clock.now()  # when the primary last did
-        self._scout: _Call | None = None
-        self._scout_pause = FIRST_PAUSE_S
+        self._last_answer_at = clock.now()  # when the primary last did
+        self._search_call: _Call | None = None
+        self._search_backoff = INITIAL_BACKOFF_S
         self._waiting: deque[_Call] = deque()
-        self._detours = detours
-        self._relayed: Candidate | None = None  # the primary by way of a relay, where that is to be tried next
+        self._relayed_calls = relayed_calls
+        self._next_relayed_candidate: Candidate | None = (
+            None  # the primary by way of a relay, where that is to be tried next
+        )
         self._probe_at = 0.0
-        membership.on_view(self._learn_view)
+        membership.on_view(self._on_newer_view)
 
-    def call(self, request: Struct, patience_s: float, on_done: OutcomeHandler) -> None:
+    def call(self, request: Struct, timeout_s: float, on_done: OutcomeHandler) -> None:
         """Have the primary answer `request`; `on_done` is called once, within `patience_s` seconds."""
-        call = _Call(request, self._clock.now() + patience_s, on_done)
+        call = _Call(request, self._clock.now() + timeout_s, on_done)
         call.expiry = self._clock.at(call.deadline, partial(self._finish, call, None))
         self._dispatch(call)
 
@@ -115,145 +117,151 @@
         if call.done:
             return
         if self._primary is not None:
-            self._send(call, self._primary, partial(self._take_reply, call, self._primary, self._clock.now()))
-        elif self._scout is None:
-            self._scout = call
-            self._ask_next()
+            self._send(call, self._primary, partial(self._on_reply, call, self._primary, self._clock.now()))
+        elif self._search_call is None:
+            self._search_call = call
+            self._ask_next_candidate()
         else:
             self._waiting.append(call)
 
-    def _take_reply(self, call: _Call, asked: Candidate, sent_at: float, reply: Struct | None) -> None:
+    def _on_reply(self, call: _Call, asked: Candidate, sent_at: float, reply: Struct | None) -> None:
         if reply is not None and not isinstance(reply, NotPrimary):
             if asked == self._primary:
-                self._answered_at = self._clock.now()
-                self._probe_if_relayed(asked)
+                self._last_answer_at = self._clock.now()
+                self._probe_direct_path(asked)
             self._finish(call, reply)
             return
         self._offer_view(reply)
         if asked != self._primary:
             self._dispatch(call)
-        elif self._answered_at > sent_at:  # it answers others: this answer may have been lost, or was given early
-            self._repeat_later(call)
+        elif self._last_answer_at > sent_at:  # it answers others: this answer may have been lost, or was given early
+            self._retry_later(call)
         else:
-            self._doubt(asked, answered=reply is not None)
+            self._start_search(asked, answered=reply is not None)
             self._dispatch(call)
 
-    def _repeat_later(self, call: _Call) -> None:
-        self._after(call.pause, partial(self._dispatch, call))
-        call.pause = min(2 * call.pause, LONGEST_PAUSE_S)
+    def _retry_later(self, call: _Call) -> None:
+        self._after(call.backoff, partial(self._dispatch, call))
+        call.backoff = min(2 * call.backoff, MAX_BACKOFF_S)
 
     # ---- search
 
-    def _doubt(self, former: Candidate, answered: bool) -> None:
-        """The primary is not known any longer: the next call to be dispatched is the scout."""
+    def _start_search(self, former: Candidate, answered: bool) -> None:
+        """The primary is not known any longer: the next call to be dispatched is the search_call."""
         self._primary = None
-        self._scout_pause = FIRST_PAUSE_S
+        self._search_backoff = INITIAL_BACKOFF_S
         self._rounds.start(former)
-        self._note_answer(former, answered)
+        self._record_answer(former, answered)
         if not answered:
-            self._plan_relay(former)
+            self._try_relay_next(former)
 
-    def _plan_relay(self, unreached: Candidate) -> None:
+    def _try_relay_next(self, unreachable: Candidate) -> None:
         """Try a node that did not answer by way of a relay: this process may be cut off from it, and others not."""
-        relay = self._detours.relay((unreached.address, unreached.relay)) if self._detours is not None else ""
-        self._relayed = Candidate(unreached.address, unreached.name, relay) if relay else None
-
-    def _probe_if_relayed(self, primary: Candidate) -> None:
+        relay = (
+            self._relayed_calls.choose_relay((unreachable.address, unreachable.relay))
+            if self._relayed_calls is not None
+            else ""
+        )
+        self._next_relayed_candidate = Candidate(unreachable.address, unreachable.name, relay) if relay else None
+
+    def _probe_direct_path(self, primary: Candidate) -> None:
         """Now and then see whether the primary can be reached straight again."""
         now = self._clock.now()
-        if self._detours is None or not primary.relay or now < self._probe_at:
+        if self._relayed_calls is None or not primary.relay or now < self._probe_at:
             return
         self._probe_at = now + PROBE_INTERVAL_S
 
         def probed(reply: Struct | None) -> None:
             if reply is not None and self._primary == primary:
-                self._go_to(Candidate(primary.address, primary.name))
+                self._set_primary(Candidate(primary.address, primary.name))
 
-        self._detours.probe(primary.address, PROBE_TIMEOUT_S, probed)
+        self._relayed_calls.probe(primary.address, PROBE_TIMEOUT_S, probed)
 
-    def _note_answer(self, candidate: Candidate, answered: bool) -> None:
+    def _record_answer(self, candidate: Candidate, answered: bool) -> None:
         if answered:
-            self._rounds.answered(candidate)
+            self._rounds.mark_responsive(candidate)
         else:
-            self._rounds.unanswered(candidate)
+            self._rounds.mark_unresponsive(candidate)
 
-    def _ask_next(self) -> None:
-        """Let the scout ask the next candidate, after a pause where a round is over."""
-        scout = self._scout
-        if scout is None:
+    def _ask_next_candidate(self) -> None:
+        """Let the search_call ask the next candidate, after a backoff where a round is over."""
+        search_call = self._search_call
+        if search_call is None:
             return
-        candidate, self._relayed = self._relayed or self._rounds.next(), None
+        candidate, self._next_relayed_candidate = self._next_relayed_candidate or self._rounds.next(), None
         if candidate is None:
-            scout.attempt += 1
-            self._plan_relay_to_primary()
-            self._after(self._scout_pause, partial(self._go_on, scout, scout.attempt))
-            self._scout_pause = min(2 * self._scout_pause, LONGEST_PAUSE_S)
+            search_call.attempt += 1
+            self._try_relay_to_primary_next()
+            self._after(self._search_backoff, partial(self._start_next_round, search_call, search_call.attempt))
+            self._search_backoff = min(2 * self._search_backoff, MAX_BACKOFF_S)
             return
-        self._send(scout, candidate, partial(self._take_scouts_reply, scout, candidate))
+        self._send(search_call, candidate, partial(self._on_search_reply, search_call, candidate))
 
-    def _plan_relay_to_primary(self) -> None:
+    def _try_relay_to_primary_next(self) -> None:
         """A round is over: begin the next one with the primary of the newest view, by way of another relay."""
         primary = primary_of(self._membership.view)
         if primary is not None:
-            self._plan_relay(primary)
+            self._try_relay_next(primary)
 
-    def _go_on(self, scout: _Call, attempt: int) -> None:
+    def _start_next_round(self, search_call: _Call, attempt: int) -> None:
         """Begin the next round, unless something else has happened."""
-        if scout is self._scout and scout.attempt == attempt:
-            self._take_turns()
-            self._ask_next()
+        if search_call is self._search_call and search_call.attempt == attempt:
+            self._rotate_search_call()
+            self._ask_next_candidate()
 
-    def _take_turns(self) -> None:
-        """Let another call be the scout: the one that was may itself be what nobody answers."""
-        if self._scout is not None:
-            self._waiting.append(self._scout)
-        self._scout = self._next_waiting()
+    def _rotate_search_call(self) -> None:
+        """Let another call be the search_call: the one that was may itself be what nobody answers."""
+        if self._search_call is not None:
+            self._waiting.append(self._search_call)
+        self._search_call = self._pop_waiting()
 
-    def _next_waiting(self) -> _Call | None:
+    def _pop_waiting(self) -> _Call | None:
         while self._waiting:
             call = self._waiting.popleft()
             if not call.done:
                 return call
         return None
 
-    def _take_scouts_reply(self, scout: _Call, asked: Candidate, reply: Struct | None) -> None:
+    def _on_search_reply(self, search_call: _Call, asked: Candidate, reply: Struct | None) -> None:
         if not asked.relay:
-            self._note_answer(asked, answered=reply is not None)
+            self._record_answer(asked, answered=reply is not None)
         if reply is not None and not isinstance(reply, NotPrimary):
-            self._found(asked)
-            self._finish(scout, reply)
+            self._end_search(asked)
+            self._finish(search_call, reply)
             return
-        attempt = scout.attempt
+        attempt = search_call.attempt
         self._offer_view(reply)
-        if scout is self._scout and scout.attempt == attempt:  # else the view was news, and its primary is being asked
-            self._ask_next()
+        if (
+            search_call is self._search_call and search_call.attempt == attempt
+        ):  # else the view was news, and its primary is being asked
+            self._ask_next_candidate()
 
-    def _found(self, primary: Candidate) -> None:
+    def _end_search(self, primary: Candidate) -> None:
         """The search is over: all that waited go there."""
-        self._go_to(primary)
-        self._scout = None
+        self._set_primary(primary)
+        self._search_call = None
         waiting, self._waiting = self._waiting, deque()
         for call in waiting:
             self._dispatch(call)
 
-    def _learn_view(self, view: View) -> None:
+    def _on_newer_view(self, view: View) -> None:
         """Turn to the primary of a newer view; in a search it is asked at once, also if an answer is still due."""
-        self._rounds.learned_view()
+        self._rounds.on_newer_view()
         primary = primary_of(view)
-        scout = self._scout
+        search_call = self._search_call
         if primary is None:
             return
-        if scout is None:
-            self._go_to(primary)
-        elif scout.asked != primary:
-            self._abandon_attempt(scout)
-            self._ask_next()
+        if search_call is None:
+            self._set_primary(primary)
+        elif search_call.asked != primary:
+            self._abandon_attempt(search_call)
+            self._ask_next_candidate()
 
-    def _go_to(self, primary: Candidate) -> None:
+    def _set_primary(self, primary: Candidate) -> None:
         """Send calls there from now on."""
         if primary != self._primary:
             self._primary = primary
-            self._answered_at = self._clock.now()
+            self._last_answer_at = self._clock.now()
 
     # ---- one call
 
@@ -262,12 +270,12 @@
         call.attempt += 1
         call.asked = candidate
         attempt = call.attempt
-        searches = candidate != self._primary
-        longest_s = RELAYED_ATTEMPT_S if candidate.relay and searches else ATTEMPT_S
-        longest_s += passage_s(call.request)
-        timeout = max(SHORTEST_ATTEMPT_S, min(call.deadline - self._clock.now(), longest_s))
+        is_search = candidate != self._primary
+        longest_timeout_s = RELAYED_ATTEMPT_TIMEOUT_S if candidate.relay and is_search else ATTEMPT_TIMEOUT_S
+        longest_timeout_s += transfer_time_s(call.request)
+        timeout = max(MIN_ATTEMPT_TIMEOUT_S, min(call.deadline - self._clock.now(), longest_timeout_s))
 
-        def take(reply: Struct | None) -> None:
+        def on_answer(reply: Struct | None) -> None:
             if call.done or call.attempt != attempt:
                 return
             call.attempt += 1
@@ -276,13 +284,13 @@
             on_reply(reply)
 
         if self._local is not None and candidate.name and candidate.name == self._my_name:
-            self._after(timeout, partial(take, None))
-            if not self._local(call.request, take):
-                take(NotPrimary())
-        elif candidate.relay and self._detours is not None:
-            self._detours.call_by(candidate.relay, candidate.address, call.request, timeout, take)
+            self._after(timeout, partial(on_answer, None))
+            if not self._local(call.request, on_answer):
+                on_answer(NotPrimary())
+        elif candidate.relay and self._relayed_calls is not None:
+            self._relayed_calls.call_via(candidate.relay, candidate.address, call.request, timeout, on_answer)
         else:
-            self._network.call(candidate.address, call.request, timeout, take)
+            self._network.call(candidate.address, call.request, timeout, on_answer)
 
     def _abandon_attempt(self, call: _Call) -> None:
         """Wait no longer for the answer that is due, if one is."""
@@ -297,9 +305,9 @@
         if call.expiry is not None:
             call.expiry.cancel()
         self._abandon_attempt(call)
-        if call is self._scout:
-            self._scout = self._next_waiting()
-            self._ask_next()
+        if call is self._search_call:
+            self._search_call = self._pop_waiting()
+            self._ask_next_candidate()
         call.on_done(Outcome(reply, call.may_have_run))
 
     def _offer_view(self, reply: Struct | None) -> None:
--- a/pipitledge/membership/detours.py
+++ b/pipitledge/membership/relayed_calls.py
@@ -15,7 +15,7 @@
 from msgspec.structs import replace
 
 from pipitledge.membership.membership import Membership
-from pipitledge.membership.partial_view import LEAF_CLASS
+from pipitledge.membership.partial_view import AGENT_MACHINE_CLASS
 from pipitledge.runtime.handlers import Handlers, Reply
 from pipitledge.runtime.ports import Clock, Network, ReplyHandler
 from pipitledge.wire import codec
@@ -26,7 +26,7 @@
 MS_PER_S = 1000.0
 
 
-class Detours:
+class RelayedCalls:
     """Makes calls by relays, is a relay for others, and takes what relays bring."""
 
     def __init__(
@@ -38,17 +38,19 @@
         self._membership = membership
         self._handlers = handlers
         self._random = randomness
-        self._routes: dict[str, _Route] = {}  # by address of the sender
+        self._routes: dict[str, _RelayRoute] = {}  # by address of the sender
 
     def register(self) -> None:
         """Take calls that go by way of a relay."""
-        self._handlers.on_call(Forward, self._take)
+        self._handlers.on_call(Forward, self._on_forward)
 
     # ---- as a caller
 
-    def relay(self, except_for: Sequence[str] = ()) -> str:
+    def choose_relay(self, except_for: Sequence[str] = ()) -> str:
         """The address of a node that may be a relay; empty if none is known."""
-        nodes = [node for node in self._membership.nodes() if not node.counted and node.machine_class != LEAF_CLASS]
+        nodes = [
+            node for node in self._membership.nodes() if not node.counted and node.machine_class != AGENT_MACHINE_CLASS
+        ]
         addresses = [node.address for node in nodes if node.address not in except_for]
         return self._random.choice(addresses) if addresses else ""
 
@@ -56,7 +58,7 @@
         """Call as the network does, but back by the relay by which the receiver called last, if it did lately."""
         route = self._routes.get(address)
         if route is not None and self._clock.now() < route.until:
-            self.call_by(route.relay, address, request, timeout, on_reply)
+            self.call_via(route.relay, address, request, timeout, on_reply)
         else:
             self._network.call(address, request, timeout, on_reply)
 
@@ -64,19 +66,22 @@
         """Send once over UDP, straight."""
         self._network.datagram(address, message)
 
-    def call_by(self, relay: str, address: str, request: Struct, timeout: float, on_reply: ReplyHandler) -> None:
+    def call_via(self, relay: str, address: str, request: Struct, timeout: float, on_reply: ReplyHandler) -> None:
         """Call by way of a relay."""
-        waits_ms = int(max(0.0, timeout - RELAY_SLACK_S) * MS_PER_S)
+        relay_timeout_ms = int(max(0.0, timeout - RELAY_SLACK_S) * MS_PER_S)
         forward = Forward(
-            target=address, origin=self._membership.me.address, timeout_ms=waits_ms, message=codec.encode(request)
+            target=address,
+            origin=self._membership.me.address,
+            timeout_ms=relay_timeout_ms,
+            message=codec.encode(request),
         )
-        self._network.call(relay, forward, timeout, lambda reply: on_reply(self._unpacked(reply)))
+        self._network.call(relay, forward, timeout, lambda reply: on_reply(self._unwrap_reply(reply)))
 
     def probe(self, address: str, timeout: float, on_reply: ReplyHandler) -> None:
         """See whether a process can be reached straight; if so, it calls back straight, too."""
         self._network.call(address, Forward(origin=self._membership.me.address), timeout, on_reply)
 
-    def _unpacked(self, reply: Struct | None) -> Struct | None:
+    def _unwrap_reply(self, reply: Struct | None) -> Struct | None:
         """The answer that a relay brought, if it is one."""
         if not isinstance(reply, Forwarded):
             return None
@@ -90,27 +95,27 @@
 
     # ---- as a relay, and as a receiver
 
-    def _take(self, forward: Forward, reply: Reply) -> None:
+    def _on_forward(self, forward: Forward, reply: Reply) -> None:
         if not forward.message:
             self._routes.pop(forward.origin, None)
             reply(Forwarded(answered=True))
         elif forward.target == self._membership.me.address:
             self._deliver(forward, reply)
         elif forward.relay:
-            reply(Forwarded())  # it has passed a relay already, and was meant for another process at this address
+            reply(Forwarded())  # it has on_answer a relay already, and was meant for another process at this address
         else:
-            self._pass_on(forward, reply)
+            self._forward(forward, reply)
 
-    def _pass_on(self, forward: Forward, reply: Reply) -> None:
-        def passed(answer: Struct | None) -> None:
+    def _forward(self, forward: Forward, reply: Reply) -> None:
+        def on_answer(answer: Struct | None) -> None:
             reply(answer if isinstance(answer, Forwarded) else Forwarded(view=self._membership.view))
 
-        named = replace(forward, relay=self._membership.me.address)
-        self._network.call(forward.target, named, forward.timeout_ms / MS_PER_S, passed)
+        stamped = replace(forward, relay=self._membership.me.address)
+        self._network.call(forward.target, stamped, forward.timeout_ms / MS_PER_S, on_answer)
 
     def _deliver(self, forward: Forward, reply: Reply) -> None:
         if forward.relay:
-            self._routes[forward.origin] = _Route(forward.relay, self._clock.now() + ROUTE_VALID_S)
+            self._routes[forward.origin] = _RelayRoute(forward.relay, self._clock.now() + ROUTE_VALID_S)
         try:
             message = codec.decode(forward.message)
         except codec.WireError:
@@ -124,7 +129,7 @@
             reply(Forwarded())
 
 
-class _Route(Struct, frozen=True):
+class _RelayRoute(Struct, frozen=True):
     """By which relay a process called last."""
 
     relay: str
--- a/pipitledge/programs/agent.py
+++ b/pipitledge/programs/agent.py
@@ -35,7 +35,12 @@
     """Assemble the agent's planes."""
     settings = core.settings
     caller = PrimaryCaller(
-        core.host, core.transport, core.membership, random.Random(), my_name=settings.name, detours=core.detours
+        core.host,
+        core.transport,
+        core.membership,
+        random.Random(),
+        my_name=settings.name,
+        relayed_calls=core.relayed_calls,
     )
     identity = AgentIdentity(
         name=settings.name,
--- a/pipitledge/programs/control.py
+++ b/pipitledge/programs/control.py
@@ -5,8 +5,8 @@
 import random
 import sys
 
-from pipitledge.configuration.keeper import ConfigurationKeeper
-from pipitledge.membership.founding_gate import FoundingGate
+from pipitledge.configuration.configuration_service import ConfigurationService
+from pipitledge.membership.bootstrap_gate import BootstrapGate
 from pipitledge.membership.membership import internal_addresses
 from pipitledge.programs.core import Core
 from pipitledge.programs.node_status import jobs_section, keeper_section, queues_section, workers_section
@@ -103,18 +103,25 @@
         services,
         logs.get("replica"),
         internal_addresses(list(settings.seeds), settings.internal_ports[0]),
-        FoundingGate(core.host, core.membership, len(settings.seeds)).open,
+        BootstrapGate(core.host, core.membership, len(settings.seeds)).open,
+    )
+    configuration_service = ConfigurationService(replica, logs.get("keeper"))
+    ports = Ports(
+        core.host, core.relayed_calls, replica, configuration_service.current, core.host.wall_ms, logs.get("scheduler")
     )
-    keeper = ConfigurationKeeper(replica, logs.get("keeper"))
-    ports = Ports(core.host, core.detours, replica, keeper.current, core.host.wall_ms, logs.get("scheduler"))
     figures = Figures(settings.bounds, settings.heartbeat_ms / MS_PER_SECOND)
     scheduler = Scheduler(ports, figures, Node(settings.name, core.transport.address), lambda: _agents(core))
-    keeper.publish_usage(scheduler.usage)
-    services += [keeper, scheduler]  # the scheduler reads the configuration that the keeper has taken over
-    for plane in (replica, keeper, scheduler):
+    configuration_service.publish_usage(scheduler.usage)
+    services += [
+        configuration_service,
+        scheduler,
+    ]  # the scheduler reads the configuration that the keeper has taken over
+    for plane in (replica, configuration_service, scheduler):
         plane.register(core.handlers)
     core.add_status("replica", replica.status)
-    core.add_status("configuration", lambda: keeper_section(keeper))  # a data plane has more to tell, if there is one
+    core.add_status(
+        "configuration", lambda: keeper_section(configuration_service)
+    )  # a data plane has more to tell, if there is one
     core.add_status("queues", lambda: queues_section(scheduler.context, core.membership))
     core.add_status("workers", lambda: workers_section(scheduler.context, core.membership))
     core.add_status("jobs", lambda: jobs_section(scheduler.context, core.membership))
--- a/pipitledge/programs/core.py
+++ b/pipitledge/programs/core.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from pipitledge.membership.detours import Detours
 from pipitledge.membership.membership import Membership
+from pipitledge.membership.relayed_calls import RelayedCalls
 from pipitledge.programs.status import members_section
 from pipitledge.runtime import logs
 from pipitledge.runtime import settings as settings_file
@@ -62,8 +62,8 @@
             self.host, self.transport, random.Random(), self.me, list(settings.seeds), settings.internal_ports[0]
         )
         self.membership.register(self.handlers)
-        self.detours = Detours(self.host, self.transport, self.membership, self.handlers, random.Random())
-        self.detours.register()
+        self.relayed_calls = RelayedCalls(self.host, self.transport, self.membership, self.handlers, random.Random())
+        self.relayed_calls.register()
         self.handlers.on_call(StatusRequest, self._tell_status)
         self._watch = SettingsWatch(path, settings, self.log)
         self._servers: list[HttpServer] = []
--- a/pipitledge/programs/fronts.py
+++ b/pipitledge/programs/fronts.py
@@ -5,7 +5,7 @@
 import math
 from http import HTTPStatus
 
-from pipitledge.ingress.control_front import ControlFront
+from pipitledge.ingress.control_plane_api import ControlPlaneApi
 from pipitledge.ingress.ingress import Ingress
 from pipitledge.ingress.readiness import Readiness
 from pipitledge.programs.rejections import NO_SUCH_PATH, WRONG_METHOD
@@ -44,7 +44,7 @@
     return handle
 
 
-def operator_front(control: ControlFront) -> HttpHandler:
+def operator_front(control: ControlPlaneApi) -> HttpHandler:
     """The operator's calls, at a node's `controlPlane` address."""
 
     def handle(request: HttpRequest, respond: Respond) -> None:
--- a/pipitledge/programs/node.py
+++ b/pipitledge/programs/node.py
@@ -8,11 +8,11 @@
 from pipitledge.configuration.checks import MAX_BODY_BYTES
 from pipitledge.configuration.data_plane import DataPlane
 from pipitledge.configuration.model import Configuration
-from pipitledge.ingress.control_front import ControlFront
-from pipitledge.ingress.ingress import LONGEST_PATIENCE_SECONDS, Ingress
+from pipitledge.ingress.control_plane_api import ControlPlaneApi
+from pipitledge.ingress.ingress import MAX_PRIMARY_TIMEOUT_SECONDS, Ingress
 from pipitledge.ingress.local_admission import LocalAdmission
 from pipitledge.ingress.readiness import Readiness
-from pipitledge.ingress.redirect import LargeAnswers
+from pipitledge.ingress.redirect import LargeAnswerRedirects
 from pipitledge.membership.primary_caller import PrimaryCaller
 from pipitledge.programs.control import ControlState, build_control_state
 from pipitledge.programs.core import Core, prepare_process, wait_for_settings
@@ -26,7 +26,7 @@
 CLIENT_BODY_BYTES = 256 * 1024  # while no configuration says otherwise
 STAY_PART = 0.5  # of the time to end, for which new connections may still come
 LAST_SECONDS = 1.0  # of the time to end, kept for the disk
-LONGEST_ANSWER_SECONDS = LONGEST_PATIENCE_SECONDS + 0.2  # that a call may take until it is answered
+LONGEST_ANSWER_SECONDS = MAX_PRIMARY_TIMEOUT_SECONDS + 0.2  # that a call may take until it is answered
 
 
 class Node:
@@ -46,7 +46,7 @@
             random.Random(),
             core.handlers.call if settings.counted else None,
             settings.name,
-            None if settings.counted else core.detours,
+            None if settings.counted else core.relayed_calls,
         )
         self._data_plane: DataPlane | None = None
         self._ingress: Ingress | None = None
@@ -122,10 +122,10 @@
     def _serve_operator(self) -> None:
         """Take the operator's calls."""
         core, settings = self._core, self._core.settings
-        large_answers = LargeAnswers(
+        large_answer_redirects = LargeAnswerRedirects(
             core.membership, settings.name, settings.bind.control_plane, settings.limits.link_mbps
         )
-        front = ControlFront(core.host, self._caller, logs.get("control"), large_answers)
+        front = ControlPlaneApi(core.host, self._caller, logs.get("control"), large_answer_redirects)
         options = ServerOptions("control", threads=1, most_threads=24, body_limit=MAX_BODY_BYTES, connections=256)
         core.serve(settings.bind.control_plane, operator_front(front), options)
 
--- a/pipitledge/programs/node_status.py
+++ b/pipitledge/programs/node_status.py
@@ -7,8 +7,8 @@
 
 from collections import Counter
 
+from pipitledge.configuration.configuration_service import ConfigurationService
 from pipitledge.configuration.data_plane import DataPlane
-from pipitledge.configuration.keeper import ConfigurationKeeper
 from pipitledge.configuration.model import Configuration, Route
 from pipitledge.ingress.readiness import Readiness
 from pipitledge.membership.membership import Membership
@@ -28,9 +28,9 @@
     }
 
 
-def keeper_section(keeper: ConfigurationKeeper) -> Section:
+def keeper_section(configuration_service: ConfigurationService) -> Section:
     """The configuration in force, where this node leads."""
-    return _configuration(keeper.current())
+    return _configuration(configuration_service.current())
 
 
 def queues_section(context: Context, membership: Membership) -> Section:
--- a/pipitledge/scheduling/admission.py
+++ b/pipitledge/scheduling/admission.py
@@ -7,7 +7,7 @@
 
 from collections import Counter
 
-from pipitledge.configuration.datasets import PoolFigures, QueueFigures, QueueUsageReport
+from pipitledge.configuration.datasets import PoolUsage, QueueLoad, QueueUsageReport
 from pipitledge.configuration.model import Configuration, Route
 from pipitledge.scheduling.admission_rule import Verdict, decide, job_weight
 from pipitledge.scheduling.context import Context
@@ -46,7 +46,7 @@
     def usage(self) -> QueueUsageReport:
         """What all queues use and may use; pools whose workers aren't known yet are left out."""
         self._weigh_old_jobs()
-        pools = dict[str, PoolFigures]()
+        pools = dict[str, PoolUsage]()
         for service in self._queues().by_service:
             room = self._context.room(service)
             if not self._unknown(room):
@@ -80,19 +80,19 @@
             self._counted = ServiceQueues(configuration)
         return self._counted
 
-    def _pool(self, service: str, room: ServiceRoom) -> PoolFigures:
+    def _pool(self, service: str, room: ServiceRoom) -> PoolUsage:
         """What the queues of a service use and may use, and what there is."""
         queues = self._queues()
         idle = Counter(queues.by_service.get(service, NO_QUEUES))
         count = idle.total()
-        busy = dict[str, QueueFigures]()
+        busy = dict[str, QueueLoad]()
         for name, inflight in self._context.inflight.items():
             route = queues.busy_route(name, service)
             slots = round(inflight, SLOT_DIGITS)
             if route is not None and slots > 0.0:
-                busy[name] = QueueFigures(slots, route.priority)
+                busy[name] = QueueLoad(slots, route.priority)
                 idle[route.priority] -= 1
-        return PoolFigures(
+        return PoolUsage(
             capacity=float(room.slots),
             queue_limit=round(LIMIT_PART * room.slots, SLOT_DIGITS),
             queue_reservation=RESERVED_PART * room.slots / max(1, count),
--- a/pipitledge/scheduling/admission_rule.py
+++ b/pipitledge/scheduling/admission_rule.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from pipitledge.configuration.datasets import PoolFigures, QueueFigures
+from pipitledge.configuration.datasets import PoolUsage, QueueLoad
 from pipitledge.configuration.model import Route
 from pipitledge.decision.admission import admit
 from pipitledge.scheduling.job import Stage, Submission, estimated_lengths_s, remaining_chains_s, waves_of
@@ -21,7 +21,7 @@
 SHORTEST_RETRY_MS = 200
 LONGEST_RETRY_MS = 1_500
 LEAST_CHAIN_S = 1e-3
-NOTHING_LET_IN: Mapping[str, QueueFigures] = {}
+NOTHING_LET_IN: Mapping[str, QueueLoad] = {}
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,10 +34,10 @@
 
 
 def decide(
-    pool: PoolFigures, route: Route, submission: Submission, let_in: Mapping[str, QueueFigures] = NOTHING_LET_IN
+    pool: PoolUsage, route: Route, submission: Submission, let_in: Mapping[str, QueueLoad] = NOTHING_LET_IN
 ) -> Verdict:
     """Whether a job of that queue is taken in; `let_in`: by queue, what is in flight that `pool` doesn't contain."""
-    pool = pool.with_more(let_in)
+    pool = pool.with_added_load(let_in)
     weight = job_weight(submission, pool)
     own = pool.busy.get(route.name)
     if own is None or own.inflight <= 0.0:
@@ -55,13 +55,13 @@
     return Verdict(False, weight, retry_ms)
 
 
-def job_weight(submission: Submission, pool: PoolFigures) -> float:
+def job_weight(submission: Submission, pool: PoolUsage) -> float:
     """Slots of a job's widest step: its tasks, times the share of a worker each needs, times a worker's slots."""
     slots = pool.capacity / pool.workers if pool.workers else 0.0
     return max(stage.count * share_of(stage, pool) * slots for stage in submission.stages)
 
 
-def share_of(stage: Stage, pool: PoolFigures) -> float:
+def share_of(stage: Stage, pool: PoolUsage) -> float:
     """The largest share of a mean worker of the pool that a task of that step takes."""
     share = 0.0
     if pool.cpu:
@@ -79,6 +79,6 @@
     return max(LEAST_DEPTH, late_factor * objective_s / max(chain_s, LEAST_CHAIN_S))
 
 
-def _waves(submission: Submission, pool: PoolFigures) -> tuple[float, ...]:
+def _waves(submission: Submission, pool: PoolUsage) -> tuple[float, ...]:
     """In how many waves each step runs, by the workers there are."""
     return tuple(waves_of(stage, share_of(stage, pool), pool.workers) for stage in submission.stages)
--- a/tests/system/agent_worker.py
+++ b/tests/system/agent_worker.py
@@ -428,7 +428,7 @@
         self._process = process
         self._under_way = 0
 
-    def call(self, request: Struct, patience_s: float, on_done: Callable[[PrimaryOutcome], None]) -> None:
+    def call(self, request: Struct, timeout_s: float, on_done: Callable[[PrimaryOutcome], None]) -> None:
         primary, world = self._primary, self._primary.world
         assert isinstance(request, AgentReport)
         report = copied(request)
@@ -450,7 +450,7 @@
                 orders = copied(primary.take(report))
                 world.after(CONTROL_DELAY, lambda: end(orders) if primary.reachable else None)
 
-        world.after(patience_s, lambda: end(None))
+        world.after(timeout_s, lambda: end(None))
         world.after(CONTROL_DELAY, arrive)
 
 
--- a/tests/system/configuration_world.py
+++ b/tests/system/configuration_world.py
@@ -95,9 +95,9 @@
         self.patience: list[float] = []
         self.waiting: list[OutcomeHandler] = []
 
-    def call(self, request: Struct, patience_s: float, on_done: OutcomeHandler) -> None:
+    def call(self, request: Struct, timeout_s: float, on_done: OutcomeHandler) -> None:
         self.requests.append(request)
-        self.patience.append(patience_s)
+        self.patience.append(timeout_s)
         if self.handlers is None:
             self.waiting.append(on_done)
         else:
--- a/tests/system/scheduling_cluster.py
+++ b/tests/system/scheduling_cluster.py
@@ -57,10 +57,10 @@
         self._cluster = cluster
         self._process = process
 
-    def call(self, request: Struct, patience_s: float, on_done: Callable[[Outcome], None]) -> None:
+    def call(self, request: Struct, timeout_s: float, on_done: Callable[[Outcome], None]) -> None:
         primary = self._cluster.primary
         address = primary.machine.address if primary is not None else "nobody"
-        self._process.network.call(address, request, patience_s, lambda reply: on_done(Outcome(reply)))
+        self._process.network.call(address, request, timeout_s, lambda reply: on_done(Outcome(reply)))
 
 
 class Primary:
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -8,11 +8,11 @@
 
 from msgspec import Struct
 
-from pipitledge.configuration import checks, keeper, transfer
+from pipitledge.configuration import checks, configuration_service, transfer
 from pipitledge.configuration.checks import InvalidConfiguration, ParsedConfiguration
+from pipitledge.configuration.configuration_service import ConfigurationService
 from pipitledge.configuration.data_plane import DataPlane
-from pipitledge.configuration.datasets import PoolFigures, QueueFigures, QueueUsageReport
-from pipitledge.configuration.keeper import ConfigurationKeeper
+from pipitledge.configuration.datasets import PoolUsage, QueueLoad, QueueUsageReport
 from pipitledge.configuration.model import Configuration
 from pipitledge.runtime.handlers import Handlers
 from pipitledge.runtime.settings import Bounds
@@ -32,16 +32,16 @@
 
 
 def parsed(body: bytes) -> ParsedConfiguration:
-    checked = checks.check_whole(body, 0)
+    checked = checks.check_full_configuration(body, 0)
     assert isinstance(checked, ParsedConfiguration), str(checked)
     return checked
 
 
 class WholeConfigurationTest(unittest.TestCase):
     def assert_places(self, body: bytes, *places: str) -> None:
-        checked = checks.check_whole(body, 5)
+        checked = checks.check_full_configuration(body, 5)
         assert isinstance(checked, InvalidConfiguration), checked
-        self.assertEqual([problem.place for problem in checked.problems], list(places))
+        self.assertEqual([problem.location for problem in checked.problems], list(places))
 
     def test_typed_fields_come_out(self) -> None:
         limits = {"maxBodyBytes": 1000, "idleTimeoutMs": 15000}
@@ -67,11 +67,11 @@
     def test_cut_at_every_byte_it_is_unreadable(self) -> None:
         body = whole(7, route(1))
         for length in range(len(body)):
-            self.assertIsInstance(checks.check_whole(body[:length], 0), InvalidConfiguration)
+            self.assertIsInstance(checks.check_full_configuration(body[:length], 0), InvalidConfiguration)
 
     def test_unreadable(self) -> None:
         for body in (b"", b"{", b"\xff\xfe", whole(7, route(1)) + b"x", b"[" * 100_000, b"[]", b"7", b"null"):
-            self.assert_places(body, checks.WHOLE)
+            self.assert_places(body, checks.WHOLE_DOCUMENT)
 
     def test_version(self) -> None:
         for version in (5, 4, 0, -1, "7", 7.0, True, None, 2**63):
@@ -127,7 +127,7 @@
         self.assert_places(whole(7, limits={"maxBodyBytes": "1"}), "limits.maxBodyBytes")
 
     def test_many_problems_are_cut_short(self) -> None:
-        checked = checks.check_whole(whole(7, *[route(number, timeoutMs=0) for number in range(50)]), 0)
+        checked = checks.check_full_configuration(whole(7, *[route(number, timeoutMs=0) for number in range(50)]), 0)
         self.assertTrue(str(checked).endswith("and 30 more"), str(checked))
 
     def test_if_match(self) -> None:
@@ -169,7 +169,7 @@
     def problem(self, body: bytes) -> str:
         checked = checks.check_change(body, self.current)
         assert isinstance(checked, InvalidConfiguration), checked
-        return checked.problems[0].place
+        return checked.problems[0].location
 
     def names(self, body: bytes) -> list[str]:
         return [found.name for found in self.merged(body).configuration.routes]
@@ -221,7 +221,7 @@
         self.assertEqual(self.problem(change(9, limits=3)), "limits")
 
     def test_wrong_shapes(self) -> None:
-        for fields, place in (
+        for fields, location in (
             ({"upsert": []}, "upsert"),
             ({"upsert": {"routes": {}}}, "upsert.routes"),
             ({"upsert": {"routes": [3]}}, "upsert.routes[0]"),
@@ -232,8 +232,8 @@
             ({"routes": []}, "routes"),
         ):
             with self.subTest(fields=fields):
-                self.assertEqual(self.problem(change(9, **fields)), place)
-        self.assertEqual(self.problem(b'{"version":9,'), checks.WHOLE)
+                self.assertEqual(self.problem(change(9, **fields)), location)
+        self.assertEqual(self.problem(b'{"version":9,'), checks.WHOLE_DOCUMENT)
         self.assertEqual(self.problem(b"{}"), "version")
 
     def test_a_change_may_be_the_first(self) -> None:
@@ -259,14 +259,14 @@
         self.assertEqual(self.name("OTHER.example", "/p3/"), "r3")
 
 
-class KeeperCase(unittest.TestCase):
+class ConfigurationServiceCase(unittest.TestCase):
     def setUp(self) -> None:
         self.replicator = HeldReplicator()
-        self.keeper = self.new_keeper()
-        self.operator = Answers(self.keeper.operator_call)
+        self.configuration_service = self.new_keeper()
+        self.operator = Answers(self.configuration_service.operator_call)
 
-    def new_keeper(self) -> ConfigurationKeeper:
-        made = ConfigurationKeeper(self.replicator, SilentLog())
+    def new_keeper(self) -> ConfigurationService:
+        made = ConfigurationService(self.replicator, SilentLog())
         made.activated(self.replicator.term, self.replicator.state)
         return made
 
@@ -274,20 +274,20 @@
         """Let another process become primary, with what is committed."""
         self.replicator.lose_writes()
         self.replicator.term += 1
-        self.keeper = self.new_keeper()
-        self.operator = Answers(self.keeper.operator_call)
+        self.configuration_service = self.new_keeper()
+        self.operator = Answers(self.configuration_service.operator_call)
 
     def committed(self, body: bytes, if_match: str) -> None:
-        answers = Answers(self.keeper.operator_call).put(body, if_match)
+        answers = Answers(self.configuration_service.operator_call).put(body, if_match)
         self.replicator.commit()
         self.assertEqual(answers.statuses, [200])
 
 
-class OrderTest(KeeperCase):
+class OrderTest(ConfigurationServiceCase):
     def test_acknowledged_only_once_committed(self) -> None:
         self.operator.put(whole(7, route(1)), "0")
         self.assertEqual(self.operator.statuses, [])
-        self.assertIsNone(self.keeper.current())
+        self.assertIsNone(self.configuration_service.current())
         self.replicator.commit()
         self.assertEqual(self.operator.statuses, [200])
         self.assertEqual(self.operator.last, {"version": 7})
@@ -297,8 +297,8 @@
 
     def test_it_is_in_force_before_it_is_acknowledged(self) -> None:
         seen = list[str]()
-        self.keeper.on_change(lambda configuration: seen.append(f"in force {configuration.version}"))
-        self.keeper.operator_call(
+        self.configuration_service.on_change(lambda configuration: seen.append(f"in force {configuration.version}"))
+        self.configuration_service.operator_call(
             OperatorCall("PUT", "0", whole(7, route(1))), lambda reply: seen.append("acknowledged")
         )
         self.replicator.commit()
@@ -327,21 +327,21 @@
         self.assertEqual(self.operator.statuses, [413])
 
     def test_other_methods(self) -> None:
-        self.keeper.operator_call(OperatorCall("DELETE"), self.operator.replies.append)
+        self.configuration_service.operator_call(OperatorCall("DELETE"), self.operator.replies.append)
         self.assertEqual(self.operator.statuses, [405])
 
     def test_orders_are_pipelined(self) -> None:
         self.operator.put(whole(7, route(1)), "0").put(whole(9, route(2)), "7").patch(change(12), "9")
         self.assertEqual(self.operator.statuses, [])
         self.replicator.commit_one()
-        self.assertEqual(self.keeper.current(), parsed(whole(7, route(1))).configuration)
+        self.assertEqual(self.configuration_service.current(), parsed(whole(7, route(1))).configuration)
         self.replicator.commit()
         versions = [json.loads(reply.body)["version"] for reply in self.operator.operator_replies]
         self.assertEqual(versions, [7, 9, 12])
 
     def test_of_two_on_one_version_one_wins(self) -> None:
         self.committed(whole(7, route(1)), "0")
-        other = Answers(self.keeper.operator_call)
+        other = Answers(self.configuration_service.operator_call)
         self.operator.put(whole(9, route(2)), "7")
         other.put(whole(9, route(3)), "7")
         self.assertEqual(other.statuses, [])  # it rests on the winner, which may still be lost
@@ -351,19 +351,19 @@
 
     def test_refused_for_a_winner_that_was_lost_is_no_answer(self) -> None:
         self.operator.put(whole(7, route(1)), "0")
-        loser = Answers(self.keeper.operator_call).put(whole(8, route(2)), "0")
-        self.keeper.deactivated()
+        loser = Answers(self.configuration_service.operator_call).put(whole(8, route(2)), "0")
+        self.configuration_service.deactivated()
         self.take_over()
         self.assertEqual(loser.statuses, [])
         self.committed(whole(8, route(2)), "0")
 
     def current(self) -> Configuration:
-        found = self.keeper.current()
+        found = self.configuration_service.current()
         assert found is not None
         return found
 
 
-class RepeatTest(KeeperCase):
+class RepeatTest(ConfigurationServiceCase):
     def test_while_the_first_is_being_committed(self) -> None:
         body = whole(7, route(1))
         self.operator.put(body, "0").put(body, "0")
@@ -409,33 +409,35 @@
         self.committed(late, "7")
 
     def test_so_many_orders_are_kept(self) -> None:
-        with mock.patch.object(keeper, "CHANGES_KEPT", 3):
+        with mock.patch.object(configuration_service, "CHANGES_KEPT", 3):
             for version in range(1, 6):
                 self.committed(whole(version, route(1)), str(version - 1))
-        kept = sorted(key for key in self.replicator.state if key.startswith(keeper.CHANGE_PREFIX))
-        self.assertEqual([int(key.removeprefix(keeper.CHANGE_PREFIX)) for key in kept], [3, 4, 5])
+        kept = sorted(key for key in self.replicator.state if key.startswith(configuration_service.CHANGE_PREFIX))
+        self.assertEqual([int(key.removeprefix(configuration_service.CHANGE_PREFIX)) for key in kept], [3, 4, 5])
         self.take_over()
         self.operator.put(whole(3, route(1)), "2").put(whole(2, route(1)), "1")
         self.assertEqual(self.operator.statuses, [200, 412])
 
     def test_the_state_may_come_in_any_order(self) -> None:
-        with mock.patch.object(keeper, "CHANGES_KEPT", 2):
+        with mock.patch.object(configuration_service, "CHANGES_KEPT", 2):
             for version in (1, 2):
                 self.committed(whole(version, route(1)), str(version - 1))
             self.replicator.state = dict(reversed(self.replicator.state.items()))
             self.take_over()
             self.committed(whole(3, route(1)), "2")
-        kept = sorted(key for key in self.replicator.state if key.startswith(keeper.CHANGE_PREFIX))
-        self.assertEqual([int(key.removeprefix(keeper.CHANGE_PREFIX)) for key in kept], [2, 3])
+        kept = sorted(key for key in self.replicator.state if key.startswith(configuration_service.CHANGE_PREFIX))
+        self.assertEqual([int(key.removeprefix(configuration_service.CHANGE_PREFIX)) for key in kept], [2, 3])
 
     def test_orders_go_on_counting_after_a_fail_over(self) -> None:
         self.committed(whole(7, route(1)), "0")
         self.take_over()
         self.committed(whole(8, route(1)), "7")
-        self.assertEqual(len([key for key in self.replicator.state if key.startswith(keeper.CHANGE_PREFIX)]), 2)
+        self.assertEqual(
+            len([key for key in self.replicator.state if key.startswith(configuration_service.CHANGE_PREFIX)]), 2
+        )
 
 
-class ReadBackTest(KeeperCase):
+class ReadBackTest(ConfigurationServiceCase):
     def test_nothing_yet(self) -> None:
         self.operator.get()
         self.assertEqual(self.operator.statuses, [404])
@@ -456,25 +458,25 @@
 
     def test_an_answer_waits_for_what_was_written(self) -> None:
         self.committed(whole(7, route(1)), "0")
-        self.keeper.operator_call(OperatorCall("PUT", "7", whole(9, route(2))), lambda reply: None)
+        self.configuration_service.operator_call(OperatorCall("PUT", "7", whole(9, route(2))), lambda reply: None)
         self.operator.get()
         self.assertEqual(self.operator.statuses, [])
         self.replicator.commit()
         self.assertEqual(self.operator.last["version"], 9)
 
 
-class RoleTest(KeeperCase):
+class RoleTest(ConfigurationServiceCase):
     def test_only_the_primary_answers(self) -> None:
         self.committed(whole(7, route(1)), "0")
         self.replicator.leased = False
         self.operator.get().put(whole(7, route(1)), "0").put(b"{", "0")
-        self.keeper.pull(PullRequest("n2"), self.operator.replies.append)
+        self.configuration_service.pull(PullRequest("n2"), self.operator.replies.append)
         self.assertEqual(self.operator.replies, [NotPrimary(self.replicator.view)] * 4)
 
     def test_a_lease_lost_while_an_answer_waits(self) -> None:
         """Another primary may have taken the order by now: refusing it would be a lie, and so would be an old read."""
         self.operator.put(whole(7, route(1)), "0")
-        waiting = Answers(self.keeper.operator_call).put(whole(8, route(2)), "0").put(b"{", "0").get()
+        waiting = Answers(self.configuration_service.operator_call).put(whole(8, route(2)), "0").put(b"{", "0").get()
         self.replicator.leased = False
         self.replicator.commit()
         self.assertEqual(self.operator.statuses, [200])
@@ -482,26 +484,26 @@
 
     def test_deactivated_it_knows_nothing(self) -> None:
         self.committed(whole(7, route(1)), "0")
-        self.keeper.deactivated()
-        self.assertIsNone(self.keeper.current())
+        self.configuration_service.deactivated()
+        self.assertIsNone(self.configuration_service.current())
         self.operator.get()
         self.assertEqual(self.operator.statuses, [0])
 
     def test_listeners_hear_of_what_was_found(self) -> None:
         self.committed(whole(7, route(1)), "0")
         versions = list[int]()
-        other = ConfigurationKeeper(self.replicator, SilentLog())
+        other = ConfigurationService(self.replicator, SilentLog())
         other.on_change(lambda configuration: versions.append(configuration.version))
         other.activated(2, self.replicator.state)
         self.assertEqual(versions, [7])
 
 
-class PullCase(KeeperCase):
+class PullCase(ConfigurationServiceCase):
     def setUp(self) -> None:
         super().setUp()
         self.world = World()
         self.handlers = Handlers()
-        self.keeper.register(self.handlers)
+        self.configuration_service.register(self.handlers)
         self.caller = ScriptedCaller(self.handlers)
         self.log = SilentLog()
         self.plane = DataPlane(clock_of(self.world), self.caller, "n5", self.log, Bounds())
@@ -692,7 +694,7 @@
             self.order(version)
             if self.random.random() < 0.1:
                 self.take_over()
-                self.keeper.register(self.handlers)
+                self.configuration_service.register(self.handlers)
             if self.random.random() < 0.4:
                 self.world.run_for(3.0)
                 assert self.plane._parsed is not None
@@ -704,7 +706,7 @@
 
 class UsageTest(PullCase):
     def usage(self, inflight: float) -> bytes:
-        return QueueUsageReport({"s1": PoolFigures(20.0, 10.0, 2.0, {"r1": QueueFigures(inflight)})}).encode()
+        return QueueUsageReport({"s1": PoolUsage(20.0, 10.0, 2.0, {"r1": QueueLoad(inflight)})}).encode()
 
     def inflight(self) -> float:
         assert self.plane.usage is not None
@@ -712,7 +714,7 @@
 
     def test_usage_is_pulled_when_it_changes(self) -> None:
         published = [(1, self.usage(3.0))]
-        self.keeper.publish_usage(lambda: published[-1])
+        self.configuration_service.publish_usage(lambda: published[-1])
         self.plane.start()
         self.assertEqual(self.replies()[0].updates[0].origin, "usage@1")
         self.assertEqual(self.inflight(), 3.0)
@@ -721,17 +723,17 @@
         published.append((2, self.usage(4.0)))
         self.world.run_for(1.0)
         self.assertEqual(self.inflight(), 4.0)
-        self.assertEqual(self.plane.usage_mark, (1, 2))
+        self.assertEqual(self.plane.usage_revision, (1, 2))
 
     def test_a_new_primary_counts_anew(self) -> None:
         published = [(50, self.usage(3.0))]
-        self.keeper.publish_usage(lambda: published[-1])
+        self.configuration_service.publish_usage(lambda: published[-1])
         self.plane.start()
         self.replicator.term = 2
         published.append((1, self.usage(6.0)))
         self.world.run_for(1.0)
         self.assertEqual(self.inflight(), 6.0)
-        self.assertEqual(self.plane.usage_mark, (2, 1))
+        self.assertEqual(self.plane.usage_revision, (2, 1))
 
     def test_usage_of_an_older_term_is_dropped(self) -> None:
         scripted = ScriptedCaller()
@@ -743,7 +745,7 @@
 
     def test_usage_ages_while_a_new_primary_tells_none(self) -> None:
         published = [(1, self.usage(3.0))]
-        self.keeper.publish_usage(lambda: published[-1])
+        self.configuration_service.publish_usage(lambda: published[-1])
         self.plane.start()
         self.handlers.on_call(PullRequest, lambda request, reply: reply(PullReply(2)))
         self.world.run_for(2.0)
@@ -751,7 +753,7 @@
         self.assertGreaterEqual(self.plane.usage_age_s(), 2.0)
 
     def test_usage_ages_when_its_primary_is_gone(self) -> None:
-        self.keeper.publish_usage(lambda: (1, self.usage(3.0)))
+        self.configuration_service.publish_usage(lambda: (1, self.usage(3.0)))
         self.plane.start()
         self.replicator.leased = False
         self.world.run_for(2.0)
--- a/tests/system/test_detours.py
+++ b/tests/system/test_detours.py
@@ -7,10 +7,16 @@
 
 from msgspec import Struct
 
-from pipitledge.membership.detours import ROUTE_VALID_S, Detours
 from pipitledge.membership.membership import Membership
-from pipitledge.membership.partial_view import LEAF_CLASS
-from pipitledge.membership.primary_caller import ATTEMPT_S, PROBE_INTERVAL_S, RELAYED_ATTEMPT_S, Outcome, PrimaryCaller
+from pipitledge.membership.partial_view import AGENT_MACHINE_CLASS
+from pipitledge.membership.primary_caller import (
+    ATTEMPT_TIMEOUT_S,
+    PROBE_INTERVAL_S,
+    RELAYED_ATTEMPT_TIMEOUT_S,
+    Outcome,
+    PrimaryCaller,
+)
+from pipitledge.membership.relayed_calls import ROUTE_VALID_S, RelayedCalls
 from pipitledge.runtime.handlers import Reply
 from pipitledge.wire.messages import (
     ClientCall,
@@ -43,7 +49,7 @@
         me = NodeDescriptor(
             name=name,
             address=ADDRESSES[name],
-            machine_class=LEAF_CLASS if name == AGENT else "edge",
+            machine_class=AGENT_MACHINE_CLASS if name == AGENT else "edge",
             counted=name == PRIMARY,
             incarnation=1,
         )
@@ -51,8 +57,10 @@
         self.membership = Membership(process.clock, process.network, random.Random(1), me, seeds, PORT)
         self.membership.register(process.handlers)
         self.membership.offer_view(VIEW)
-        self.detours = Detours(process.clock, process.network, self.membership, process.handlers, random.Random(1))
-        self.detours.register()
+        self.relayed_calls = RelayedCalls(
+            process.clock, process.network, self.membership, process.handlers, random.Random(1)
+        )
+        self.relayed_calls.register()
         self.calls = 0
         process.handlers.on_call(StatusRequest, self._tell)
         if name == PRIMARY:
@@ -81,7 +89,7 @@
             me.membership,
             random.Random(1),
             my_name=CALLER,
-            detours=me.detours,
+            relayed_calls=me.relayed_calls,
         )
         self.outcomes: list[Outcome] = []
         self.replies: list[Struct | None] = []
@@ -94,11 +102,11 @@
         for name in names:
             self.world.network.cut(CALLER, name)
 
-    def call(self, patience_s: float = 3.0) -> float:
+    def call(self, timeout_s: float = 3.0) -> float:
         """Have the primary called; how long that took."""
         begun, before = self.world.time, len(self.outcomes)
-        self.caller.call(ClientCall(path="/x"), patience_s, self.outcomes.append)
-        self.world.run_while(lambda: len(self.outcomes) == before, limit=patience_s + HANDOVER_S)
+        self.caller.call(ClientCall(path="/x"), timeout_s, self.outcomes.append)
+        self.world.run_while(lambda: len(self.outcomes) == before, limit=timeout_s + HANDOVER_S)
         return self.world.time - begun
 
     def served(self) -> list[bool]:
@@ -108,7 +116,7 @@
     def test_a_primary_that_cannot_be_reached_is_called_by_a_relay(self) -> None:
         self.call()
         self.cut(PRIMARY)
-        self.assertLess(self.call(), ATTEMPT_S + HANDOVER_S)
+        self.assertLess(self.call(), ATTEMPT_TIMEOUT_S + HANDOVER_S)
         self.assertLess(self.call(), HANDOVER_S)  # the relay is kept
         self.assertEqual([True] * 3, self.served())
 
@@ -135,7 +143,7 @@
 
     def test_a_primary_that_nobody_reaches_holds_a_search_up_for_no_longer_than_a_relayed_attempt(self) -> None:
         self.world.network.isolate(PRIMARY)
-        self.call(patience_s=ATTEMPT_S + 2 * RELAYED_ATTEMPT_S)
+        self.call(timeout_s=ATTEMPT_TIMEOUT_S + 2 * RELAYED_ATTEMPT_TIMEOUT_S)
         self.assertEqual([False], self.served())
 
     def test_the_receiver_calls_back_by_the_relay_for_a_while(self) -> None:
@@ -148,8 +156,8 @@
     def call_back(self) -> Struct | None:
         """Have the primary call the caller."""
         before = len(self.replies)
-        detours = self.parts[PRIMARY].detours
-        detours.call(ADDRESSES[CALLER], StatusRequest(), 0.5, self.replies.append)
+        relayed_calls = self.parts[PRIMARY].relayed_calls
+        relayed_calls.call(ADDRESSES[CALLER], StatusRequest(), 0.5, self.replies.append)
         self.world.run_while(lambda: len(self.replies) == before, limit=1.0)
         return self.replies[-1]
 
@@ -173,8 +181,8 @@
         me = self.parts[CALLER]
         known = {node.name for node in me.membership.nodes()}
         self.assertEqual({PRIMARY, RELAY, OTHER_RELAY, AGENT}, known)
-        self.assertNotEqual("", me.detours.relay())
-        self.assertEqual("", me.detours.relay((ADDRESSES[RELAY], ADDRESSES[OTHER_RELAY])))
+        self.assertNotEqual("", me.relayed_calls.choose_relay())
+        self.assertEqual("", me.relayed_calls.choose_relay((ADDRESSES[RELAY], ADDRESSES[OTHER_RELAY])))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_ingress.py
+++ b/tests/system/test_ingress.py
@@ -8,15 +8,15 @@
 
 from pipitledge.configuration.checks import MAX_BODY_BYTES
 from pipitledge.configuration.data_plane import DataPlane
-from pipitledge.configuration.datasets import PoolFigures, QueueFigures, QueueUsageReport, usage_origin
-from pipitledge.ingress import control_front, ingress
-from pipitledge.ingress.control_front import PATIENCE_SECONDS, ControlFront
+from pipitledge.configuration.datasets import PoolUsage, QueueLoad, QueueUsageReport, usage_origin
+from pipitledge.ingress import control_plane_api, ingress
+from pipitledge.ingress.control_plane_api import OPERATOR_CALL_TIMEOUT_SECONDS, ControlPlaneApi
 from pipitledge.ingress.ingress import Ingress
 from pipitledge.ingress.local_admission import LocalAdmission
 from pipitledge.ingress.outcomes import RETRY_AFTER_MS
-from pipitledge.ingress.readiness import CONTACT_SECONDS, Readiness
-from pipitledge.ingress.redirect import LONGEST_SENDING_S, LargeAnswers
-from pipitledge.membership.primary_caller import LONG_BODY_BYTES_PER_S
+from pipitledge.ingress.readiness import MAX_CONTACT_AGE_SECONDS, Readiness
+from pipitledge.ingress.redirect import MAX_SEND_SECONDS, LargeAnswerRedirects
+from pipitledge.membership.primary_caller import EXPECTED_UPLOAD_BYTES_PER_S
 from pipitledge.runtime.settings import Bounds
 from pipitledge.scheduling.admission_rule import LEAST_DEPTH, SHORTEST_RETRY_MS
 from pipitledge.wire.messages import (
@@ -182,7 +182,7 @@
 
     def test_so_many_calls_at_once(self) -> None:
         self.configure()
-        with mock.patch.object(ingress, "MOST_CALLS", 3):
+        with mock.patch.object(ingress, "MAX_CALLS_IN_PROGRESS", 3):
             for _ in range(4):
                 self.call("GET", JOB)
             self.assertEqual(self.statuses(), [503])
@@ -215,8 +215,8 @@
 
     def configure_usage(self, inflight: float) -> None:
         """Answer the pull that waits with the usage of queue r1, which may use ten slots; r2 is idle."""
-        busy = {"r1": QueueFigures(inflight)}
-        pool = PoolFigures(20.0, 10.0 / LEAST_DEPTH, 0.5, busy, {0: 1}, workers=4, cpu=5_000)
+        busy = {"r1": QueueLoad(inflight)}
+        pool = PoolUsage(20.0, 10.0 / LEAST_DEPTH, 0.5, busy, {0: 1}, workers=4, cpu=5_000)
         report = QueueUsageReport({"s1": pool}).encode()
         updates = [Update("config", 7, whole(7, route(1), route(2))), Update(usage_origin(1), 1, report)]
         self.pulls.answer(PullReply(1, updates))
@@ -278,7 +278,7 @@
 
     def test_a_fail_over_does_not_make_it_unready(self) -> None:
         self.configure()
-        self.world.run_for(CONTACT_SECONDS - 0.1)
+        self.world.run_for(MAX_CONTACT_AGE_SECONDS - 0.1)
         self.assertTrue(self.readiness.ready())
         self.world.run_for(1.0)
         self.assertFalse(self.readiness.ready())
@@ -294,7 +294,7 @@
         self.assertFalse(self.readiness.ready())
 
 
-class LargeAnswersTest(unittest.TestCase):
+class LargeAnswerRedirectsTest(unittest.TestCase):
     """Reads that a thin link would carry too slowly are sent to the primary."""
 
     WIDE, THIN = 1_000.0, 2.0  # Mbit/s
@@ -306,8 +306,8 @@
     def ask(self, size: int, link_mbps: float = THIN, me: str = "n5", method: str = "GET") -> tuple[int, str]:
         """Status and location of the answer to a call that the primary answers with so many bytes."""
         caller = ScriptedCaller()
-        answers = LargeAnswers(self.membership, me, "10.0.0.5:8146", link_mbps)
-        front = ControlFront(clock_of(World()), caller, SilentLog(), answers)
+        answers = LargeAnswerRedirects(self.membership, me, "10.0.0.5:8146", link_mbps)
+        front = ControlPlaneApi(clock_of(World()), caller, SilentLog(), answers)
         front.call(method, "/pipitledge/config", "", b"{}", lambda *answer: self.heard.append(answer))
         caller.answer(OperatorReply(200, bytes(size)))
         status, body, location = self.heard[-1]
@@ -318,7 +318,7 @@
         self.assertEqual(self.ask(280_000), (307, "http://10.0.0.1:8146/pipitledge/config"))
 
     def test_what_the_link_carries_soon_is_sent_from_here(self) -> None:
-        bound = int(LONGEST_SENDING_S * self.THIN * 125_000)
+        bound = int(MAX_SEND_SECONDS * self.THIN * 125_000)
         self.assertEqual(self.ask(bound), (200, ""))
         self.assertEqual(self.ask(bound + 1)[0], 307)
         self.assertEqual(self.ask(280_000, self.WIDE), (200, ""))
@@ -334,12 +334,12 @@
             self.assertEqual(self.ask(280_000, method=method), (200, ""))
 
 
-class ControlFrontTest(unittest.TestCase):
+class ControlPlaneApiTest(unittest.TestCase):
     def setUp(self) -> None:
         self.world = World()
         self.caller = ScriptedCaller()
         self.log = SilentLog()
-        self.front = ControlFront(clock_of(self.world), self.caller, self.log)
+        self.front = ControlPlaneApi(clock_of(self.world), self.caller, self.log)
         self.heard: list[tuple[int, bytes]] = []
 
     def call(self, method: str, body: bytes = b"", path: str = "/pipitledge/config") -> None:
@@ -360,8 +360,8 @@
         self.assertLess(max(self.caller.patience), 1.0)
 
     def test_a_long_order_is_waited_for_longer(self) -> None:
-        self.call("PUT", b" " * (2 * LONG_BODY_BYTES_PER_S))
-        self.assertAlmostEqual(self.caller.patience[-1], PATIENCE_SECONDS + 2.0)
+        self.call("PUT", b" " * (2 * EXPECTED_UPLOAD_BYTES_PER_S))
+        self.assertAlmostEqual(self.caller.patience[-1], OPERATOR_CALL_TIMEOUT_SECONDS + 2.0)
 
     def test_the_log_tells_sizes_and_time(self) -> None:
         self.call("PUT", b"{}")
@@ -398,7 +398,7 @@
         self.assertIn("machine", json.loads(self.heard[0][1])["error"])
 
     def test_so_many_calls_at_once(self) -> None:
-        with mock.patch.object(control_front, "MOST_CALLS", 2):
+        with mock.patch.object(control_plane_api, "MAX_CALLS_IN_PROGRESS", 2):
             for _ in range(3):
                 self.call("PUT")
             self.assertEqual([status for status, _ in self.heard], [503])
--- a/tests/system/test_local_admission.py
+++ b/tests/system/test_local_admission.py
@@ -15,15 +15,15 @@
 
 from pipitledge.configuration.data_plane import DataPlane
 from pipitledge.configuration.datasets import (
-    PoolFigures,
-    QueueFigures,
+    PoolUsage,
+    QueueLoad,
     QueueUsageReport,
     decode_usage,
     usage_origin,
 )
 from pipitledge.configuration.model import Configuration, Route, Service
 from pipitledge.ingress import local_admission
-from pipitledge.ingress.local_admission import FRESH_SECONDS, LEFT_TO_PRIMARY, LocalAdmission
+from pipitledge.ingress.local_admission import LEFT_TO_PRIMARY, MAX_USAGE_AGE_SECONDS, LocalAdmission
 from pipitledge.membership.primary_caller import OutcomeHandler
 from pipitledge.runtime.settings import Bounds
 from pipitledge.scheduling.admission import SETTLING_S
@@ -56,9 +56,9 @@
         self.world = world
         self.sent_at = 0.0
 
-    def call(self, request: Struct, patience_s: float, on_done: OutcomeHandler) -> None:
+    def call(self, request: Struct, timeout_s: float, on_done: OutcomeHandler) -> None:
         self.sent_at = self.world.time
-        super().call(request, patience_s, on_done)
+        super().call(request, timeout_s, on_done)
 
 
 class Puller:
@@ -93,15 +93,15 @@
     def pull(self, version: int = 1, **inflight: float) -> None:
         """Have the node pull the usage of the two queues; each may use 40 slots, 8 of them are reserved."""
         busy = {
-            route.name: QueueFigures(inflight[route.name], route.priority) for route in ROUTES if route.name in inflight
+            route.name: QueueLoad(inflight[route.name], route.priority) for route in ROUTES if route.name in inflight
         }
         idle = dict(Counter(route.priority for route in ROUTES if route.name not in inflight))
         limit, reservation = 40.0 / LEAST_DEPTH, 8.0 / LEAST_DEPTH
-        pool = PoolFigures(20.0, limit, reservation, busy, idle, workers=4, cpu=5_000, memory_mb=8_192, gpu=4)
+        pool = PoolUsage(20.0, limit, reservation, busy, idle, workers=4, cpu=5_000, memory_mb=8_192, gpu=4)
         self.node.pull(1, version, QueueUsageReport({SERVICE: pool}).encode())
 
     def refused(self, slots: int, number: int = 1, route: Route = PLAIN) -> bool:
-        return self.admission.judge(route, job_id(number), job_of(slots)).refused
+        return self.admission.evaluate(route, job_id(number), job_of(slots)).refused
 
 
 class FourStepsTest(NodeCase):
@@ -135,18 +135,18 @@
 
     def test_a_refusal_tells_when_to_come_back(self) -> None:
         self.pull(plain=100.0)
-        judgement = self.admission.judge(PLAIN, job_id(1), job_of(4))
-        self.assertTrue(judgement.refused)
-        self.assertTrue(SHORTEST_RETRY_MS <= judgement.retry_after_ms <= LONGEST_RETRY_MS)
+        local_decision = self.admission.evaluate(PLAIN, job_id(1), job_of(4))
+        self.assertTrue(local_decision.refused)
+        self.assertTrue(SHORTEST_RETRY_MS <= local_decision.retry_after_ms <= LONGEST_RETRY_MS)
 
 
 class DoubtTest(NodeCase):
     def test_no_usage_refuses_nothing(self) -> None:
-        self.assertEqual(self.admission.judge(PLAIN, job_id(1), job_of(100)), LEFT_TO_PRIMARY)
+        self.assertEqual(self.admission.evaluate(PLAIN, job_id(1), job_of(100)), LEFT_TO_PRIMARY)
 
     def test_stale_usage_refuses_nothing(self) -> None:
         self.pull(plain=40.0)
-        self.node.world.run_for(FRESH_SECONDS - 0.01)
+        self.node.world.run_for(MAX_USAGE_AGE_SECONDS - 0.01)
         self.assertTrue(self.refused(1, 1))
         self.node.world.run_for(0.02)
         self.assertFalse(self.refused(1, 2))
@@ -159,11 +159,11 @@
     def test_what_the_primary_calls_bad(self) -> None:
         self.pull(plain=40.0)
         for name, body in ((job_id(1), b"{"), (job_id(2), b'{"stages":[]}'), ("x/" + job_id(3), job_of(1))):
-            self.assertEqual(self.admission.judge(PLAIN, name, body), LEFT_TO_PRIMARY)
+            self.assertEqual(self.admission.evaluate(PLAIN, name, body), LEFT_TO_PRIMARY)
 
     def test_a_job_that_was_handed_on_once_is_never_refused(self) -> None:
         self.pull(plain=39.0)
-        accepted = self.admission.judge(PLAIN, job_id(1), job_of(1))
+        accepted = self.admission.evaluate(PLAIN, job_id(1), job_of(1))
         self.admission.accepted(accepted)
         self.assertTrue(self.refused(1, 2))
         self.assertFalse(self.refused(1, 1))
@@ -189,33 +189,33 @@
 class CountTest(NodeCase):
     def test_what_this_node_let_in_counts(self) -> None:
         self.pull(plain=36.0)
-        self.admission.accepted(self.admission.judge(PLAIN, job_id(1), job_of(4)))
+        self.admission.accepted(self.admission.evaluate(PLAIN, job_id(1), job_of(4)))
         self.assertTrue(self.refused(1, 2))
 
     def test_what_others_borrow_through_this_node_counts(self) -> None:
         self.pull(plain=10.0, urgent=30.0)
-        self.admission.accepted(self.admission.judge(URGENT, job_id(1), job_of(10)))
+        self.admission.accepted(self.admission.evaluate(URGENT, job_id(1), job_of(10)))
         self.assertFalse(self.refused(30, 2))
-        self.admission.accepted(self.admission.judge(PLAIN, job_id(3), job_of(29)))
+        self.admission.accepted(self.admission.evaluate(PLAIN, job_id(3), job_of(29)))
         self.assertTrue(self.refused(2, 4))
 
     def test_until_newer_usage_contains_it(self) -> None:
         self.pull(plain=36.0)
-        self.admission.accepted(self.admission.judge(PLAIN, job_id(1), job_of(4)))
+        self.admission.accepted(self.admission.evaluate(PLAIN, job_id(1), job_of(4)))
         self.pull(version=2, plain=38.0)
         self.assertFalse(self.refused(2, 2))
 
     def test_not_if_usage_that_came_before_its_answer_may_contain_it(self) -> None:
         self.pull(plain=36.0)
-        judgement = self.admission.judge(PLAIN, job_id(1), job_of(4))
+        local_decision = self.admission.evaluate(PLAIN, job_id(1), job_of(4))
         self.pull(version=2, plain=38.0)
-        self.admission.accepted(judgement)
+        self.admission.accepted(local_decision)
         self.assertFalse(self.refused(2, 2))
 
     def test_a_job_that_no_usage_weighed_does_not_count(self) -> None:
-        judgement = self.admission.judge(PLAIN, job_id(1), job_of(40))
+        local_decision = self.admission.evaluate(PLAIN, job_id(1), job_of(40))
         self.pull(plain=1.0)
-        self.admission.accepted(judgement)
+        self.admission.accepted(local_decision)
         self.assertFalse(self.refused(30, 2))
 
 
@@ -252,7 +252,7 @@
         pool = self.report().pools[SERVICE]
         self.assertEqual((pool.capacity, pool.workers, pool.cpu), (4.0 * SLOTS_A_WORKER, 4, 8_000))
         self.assertEqual((pool.queue_limit, pool.queue_reservation), (32.0, 8.0))
-        self.assertEqual(pool.busy, {"plain": QueueFigures(8.0, priority=PLAIN.priority)})
+        self.assertEqual(pool.busy, {"plain": QueueLoad(8.0, priority=PLAIN.priority)})
         self.assertEqual({level: count for level, count in pool.idle.items() if count}, {URGENT.priority: 1})
 
     def test_weight_returns_when_a_job_ends(self) -> None:
@@ -325,10 +325,10 @@
         assert self.cluster.primary is not None
         self.node.await_pull()
         self.node.pull(self.cluster.term, *self.usage())
-        judgement = self.node.admission.judge(route, job_id(number), json.dumps(body).encode())
-        self.assertIsNotNone(judgement.mark)
+        local_decision = self.node.admission.evaluate(route, job_id(number), json.dumps(body).encode())
+        self.assertIsNotNone(local_decision.usage_revision)
         admitted = self.admits(number, body, route)
-        self.assertEqual(judgement.refused, not admitted, f"job {number}: {judgement}")
+        self.assertEqual(local_decision.refused, not admitted, f"job {number}: {local_decision}")
         return admitted
 
     def test_flood(self) -> None:
@@ -364,7 +364,7 @@
             cpu, memory, gpu = rng.choice([0, 8_000]), rng.choice([0, 16_384]), rng.choice([0, 4])
             stage = Stage(cpu=rng.randint(0, 9_000), memory_limit_mb=rng.randint(0, 20_000), gpu=rng.randint(0, 5))
             room = ServiceRoom(4, 32, Demand(cpu, memory, gpu))
-            pool = PoolFigures(32.0, workers=4, cpu=cpu, memory_mb=memory, gpu=gpu)
+            pool = PoolUsage(32.0, workers=4, cpu=cpu, memory_mb=memory, gpu=gpu)
             self.assertEqual(share_of(stage, pool), room.share_of(demand_of(stage)))
 
     def test_ingress_loads_nothing_that_is_the_primarys_alone(self) -> None:
--- a/tests/system/test_membership.py
+++ b/tests/system/test_membership.py
@@ -11,16 +11,16 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from pipitledge.membership.candidates import SILENT_AGAIN_S, Candidate, SearchRounds
+from pipitledge.membership.candidates import UNRESPONSIVE_RETRY_S, Candidate, SearchRounds
 from pipitledge.membership.membership import (
-    ALIVE_S,
-    DATAGRAM_BYTES,
-    FORGET_S,
-    LEAF_SHUFFLE_INTERVAL_S,
+    AGENT_SHUFFLE_INTERVAL_S,
+    ALIVE_TIMEOUT_S,
+    FORGET_AFTER_S,
+    MAX_DATAGRAM_BYTES,
     Membership,
 )
-from pipitledge.membership.partial_view import LEAF_CLASS, OTHER_DISK_AFTER_S, YOUNGER_BY_S, PartialView
-from pipitledge.membership.primary_caller import ATTEMPT_S, LONG_BODY_BYTES_PER_S, Outcome, PrimaryCaller
+from pipitledge.membership.partial_view import AGENT_MACHINE_CLASS, GOSSIP_MARGIN_S, LOST_DISK_SILENCE_S, PartialView
+from pipitledge.membership.primary_caller import ATTEMPT_TIMEOUT_S, EXPECTED_UPLOAD_BYTES_PER_S, Outcome, PrimaryCaller
 from pipitledge.runtime.handlers import Reply
 from pipitledge.runtime.ports import Clock
 from pipitledge.wire.codec import encode
@@ -80,7 +80,7 @@
             name=name,
             address=process.machine.address,
             counted=index < COUNTED,
-            machine_class=LEAF_CLASS if index >= self.first_agent else "edge",
+            machine_class=AGENT_MACHINE_CLASS if index >= self.first_agent else "edge",
             incarnation=process.random.getrandbits(64),
             started_sequence=self.starts[name],
         )
@@ -147,7 +147,7 @@
         cluster.start(7, cluster.machines[7])
         cluster.world.run_until(4.0)
         cluster.machines[7].wipe()
-        cluster.world.run_for(OTHER_DISK_AFTER_S + 1.0)
+        cluster.world.run_for(LOST_DISK_SILENCE_S + 1.0)
         cluster.start(7, cluster.machines[7], counted_starts=False)
         cluster.world.run_for(4.0)
         self.assertEqual(self.incarnations_of(cluster, 7), {cluster.members["node-7"].me.incarnation})
@@ -156,13 +156,13 @@
         cluster = Cluster(20, loss=0.1)
         cluster.world.run_until(4.0)
         cluster.machines[9].power_off()
-        cluster.world.run_for(ALIVE_S - 2.0)
+        cluster.world.run_for(ALIVE_TIMEOUT_S - 2.0)
         self.assertFalse(cluster.everyone_knows_everyone(), "it was heard of lately")
         cluster.world.run_for(6.0)
         for _ in range(20):
             cluster.world.run_for(1.0)
             self.assertTrue(cluster.everyone_knows_everyone())
-        cluster.world.run_for(FORGET_S)
+        cluster.world.run_for(FORGET_AFTER_S)
         found = [name for name, member in cluster.members.items() if member.find("node-9") and name != "node-9"]
         self.assertEqual(found, [])
 
@@ -172,7 +172,7 @@
         for one in range(4):
             for other in range(4, 8):
                 cluster.world.network.cut(f"node-{one}", f"node-{other}")
-        cluster.world.run_for(2 * FORGET_S)
+        cluster.world.run_for(2 * FORGET_AFTER_S)
         self.assertEqual(len(cluster.members["node-7"].nodes()), 3)
         cluster.world.network.join_all()
         self.assertTrue(cluster.world.run_while(lambda: not cluster.everyone_knows_everyone(), limit=15.0))
@@ -199,7 +199,7 @@
         cluster = Cluster(4)
         cluster.world.run_until(4.0)
         cluster.members["node-3"].stop()
-        cluster.world.run_for(2 * ALIVE_S)
+        cluster.world.run_for(2 * ALIVE_TIMEOUT_S)
         self.assertEqual(cluster.members["node-3"].nodes(), [])
         self.assertEqual({node.name for node in cluster.members["node-2"].nodes()}, {"node-0", "node-1"})
 
@@ -222,10 +222,10 @@
     """Agents know the nodes and are known to them, at little cost."""
 
     def agents_of(self, cluster: Cluster) -> list[Membership]:
-        return [member for member in cluster.members.values() if member.me.machine_class == LEAF_CLASS]
+        return [member for member in cluster.members.values() if member.me.machine_class == AGENT_MACHINE_CLASS]
 
     def nodes_of(self, cluster: Cluster) -> list[Membership]:
-        return [member for member in cluster.members.values() if member.me.machine_class != LEAF_CLASS]
+        return [member for member in cluster.members.values() if member.me.machine_class != AGENT_MACHINE_CLASS]
 
     def test_each_counted_node_is_known_to_each_agent(self) -> None:
         cluster = Cluster(81, loss=0.05, agents=65)
@@ -241,7 +241,7 @@
         for _ in range(60):
             cluster.world.run_for(1.0)
             for node in self.nodes_of(cluster):
-                known = [other for other in node.nodes() if other.machine_class == LEAF_CLASS]
+                known = [other for other in node.nodes() if other.machine_class == AGENT_MACHINE_CLASS]
                 self.assertGreaterEqual(len(known), 10, node.me.name)
 
     def test_a_new_view_reaches_all_agents_soon(self) -> None:
@@ -249,7 +249,7 @@
             cluster = Cluster(18, loss=0.05, seed=seed, agents=11)
             cluster.world.run_until(8.0)
             cluster.members["node-0"].offer_view(view_of(7, 0))
-            cluster.world.run_for(2 * LEAF_SHUFFLE_INTERVAL_S + 1.0)
+            cluster.world.run_for(2 * AGENT_SHUFFLE_INTERVAL_S + 1.0)
             unaware = [agent.me.name for agent in self.agents_of(cluster) if agent.view is None]
             self.assertEqual([], unaware, seed)
 
@@ -302,7 +302,7 @@
                 cluster.members[machine.name].offer_view(self.view_of_strangers(members))
             cluster.world.run_for(10.0)
         self.assertGreater(len(sizes), 300)
-        self.assertLessEqual(max(sizes), DATAGRAM_BYTES)
+        self.assertLessEqual(max(sizes), MAX_DATAGRAM_BYTES)
 
     def view_of_strangers(self, members: int) -> View:
         names = [f"a-machine-with-a-longer-name-{index}" for index in range(members)]
@@ -330,45 +330,45 @@
         )
 
     def names(self, since: float = 0.0) -> set[str]:
-        return {node.name for node in self.view.heard_since(since)}
+        return {node.name for node in self.view.seen_since(since)}
 
     def test_it_holds_others_only(self) -> None:
-        self.view.hearsay([self.node("me"), self.node("a")], 10.0)
+        self.view.record_gossip([self.node("me"), self.node("a")], 10.0)
         self.assertEqual(self.names(), {"a"})
 
     def test_the_oldest_makes_room_and_counted_ones_stay(self) -> None:
-        self.view.hearsay([self.node("a", 5.0, counted=True), self.node("b", 4.0), self.node("c", 1.0)], 10.0)
-        self.view.hearsay([self.node("d", 2.0), self.node("e", 3.0)], 10.0)
+        self.view.record_gossip([self.node("a", 5.0, counted=True), self.node("b", 4.0), self.node("c", 1.0)], 10.0)
+        self.view.record_gossip([self.node("d", 2.0), self.node("e", 3.0)], 10.0)
         self.assertEqual(self.names(), {"a", "c", "d", "e"})
 
     def test_hearsay_grows_no_younger_under_way(self) -> None:
-        self.view.hearsay([self.node("a", 2.0)], 10.0)
-        self.view.hearsay([self.node("a", 2.0)], 10.0 + YOUNGER_BY_S)
+        self.view.record_gossip([self.node("a", 2.0)], 10.0)
+        self.view.record_gossip([self.node("a", 2.0)], 10.0 + GOSSIP_MARGIN_S)
         self.assertEqual(self.names(since=8.1), set())
-        self.view.hearsay([self.node("a", 2.0)], 10.1 + YOUNGER_BY_S)
+        self.view.record_gossip([self.node("a", 2.0)], 10.1 + GOSSIP_MARGIN_S)
         self.assertEqual(self.names(since=8.1), {"a"})
 
     def test_a_later_start_wins_whatever_its_age(self) -> None:
-        self.view.hearsay([self.node("a", 0.0)], 10.0)
-        self.view.hearsay([self.node("a", 1.0, start=2, life=2)], 10.0)
-        self.view.hearsay([self.node("a", 0.0, start=1, life=1)], 12.0)
+        self.view.record_gossip([self.node("a", 0.0)], 10.0)
+        self.view.record_gossip([self.node("a", 1.0, start=2, life=2)], 10.0)
+        self.view.record_gossip([self.node("a", 0.0, start=1, life=1)], 12.0)
         found = self.view.find("a")
         self.assertEqual(found and found.incarnation, 2)
 
     def test_a_process_late_in_the_air_does_not_replace_its_newer_self(self) -> None:
-        self.view.spoke(self.node("a", start=2, life=2), 10.0)
-        self.view.spoke(self.node("a", start=1, life=1), 10.0 + OTHER_DISK_AFTER_S)
+        self.view.record_contact(self.node("a", start=2, life=2), 10.0)
+        self.view.record_contact(self.node("a", start=1, life=1), 10.0 + LOST_DISK_SILENCE_S)
         found = self.view.find("a")
         self.assertEqual(found and found.incarnation, 2)
 
     def test_answers_bring_what_is_younger_first(self) -> None:
-        self.view.hearsay([self.node("a", 1.0), self.node("b", 6.0), self.node("c", 1.0)], 10.0)
+        self.view.record_gossip([self.node("a", 1.0), self.node("b", 6.0), self.node("c", 1.0)], 10.0)
         asked = [self.node("a", 5.0), self.node("b", 5.0)]
         self.assertEqual([node.name for node in self.view.answer(asked, 10.0, 1, 0.0)], ["a"])
         self.assertEqual([node.name for node in self.view.answer(asked, 10.0, 8, 0.0)], ["a", "c"])
 
     def test_samples_tell_ages_as_of_now(self) -> None:
-        self.view.hearsay([self.node("a", 1.0)], 10.0)
+        self.view.record_gossip([self.node("a", 1.0)], 10.0)
         self.assertEqual([node.age_ms for node in self.view.sample(12.0, 8, 0.0)], [3000])
 
 
@@ -421,9 +421,9 @@
             self.assertEqual(sorted(asked, key=str), [Candidate(address(i), f"node-{i}") for i in range(COUNTED)])
 
     def test_a_silent_one_is_left_out_for_a_while_and_then_asked_last(self) -> None:
-        self.rounds.unanswered(self.primary)
+        self.rounds.mark_unresponsive(self.primary)
         self.assertNotIn(self.primary, self.round())
-        self.world.run_for(SILENT_AGAIN_S)
+        self.world.run_for(UNRESPONSIVE_RETRY_S)
         self.assertEqual(self.round()[-1], self.primary)
 
     def test_no_one_is_left_out_though_each_reading_of_the_clock_is_later_than_the_last(self) -> None:
@@ -432,13 +432,13 @@
         self.assertEqual(len(self.round()), COUNTED)
 
     def test_one_that_answers_again_is_asked_in_its_place(self) -> None:
-        self.rounds.unanswered(self.primary)
-        self.rounds.answered(self.primary)
+        self.rounds.mark_unresponsive(self.primary)
+        self.rounds.mark_responsive(self.primary)
         self.assertEqual(self.round()[0], self.primary)
 
     def test_all_are_asked_where_all_are_silent(self) -> None:
         for candidate in self.round():
-            self.rounds.unanswered(candidate)
+            self.rounds.mark_unresponsive(candidate)
         self.assertEqual(len(self.round()), COUNTED)
 
     def test_the_primary_of_a_newer_view_is_asked_again_in_the_same_round(self) -> None:
@@ -447,15 +447,15 @@
         (last,) = [index for index in range(COUNTED) if f"node-{index}" not in known]
         primary = (last + 1) % COUNTED
         self.membership.offer_view(view_of(2, primary))
-        self.rounds.learned_view()
+        self.rounds.on_newer_view()
         expected = [Candidate(address(index), f"node-{index}") for index in (primary, last)]
         self.assertEqual([self.rounds.next(), self.rounds.next(), self.rounds.next()], [*expected, None])
 
     def test_a_silent_one_is_asked_at_once_where_a_newer_view_says_that_it_leads(self) -> None:
         silent = Candidate(address(1), "node-1")
-        self.rounds.unanswered(silent)
+        self.rounds.mark_unresponsive(silent)
         self.membership.offer_view(view_of(2, 1))
-        self.rounds.learned_view()
+        self.rounds.on_newer_view()
         self.assertEqual(self.rounds.next(), silent)
 
 
@@ -509,7 +509,7 @@
         with mock.patch.object(
             self.process.network, "call", lambda to, request, timeout, done: timeouts.append(timeout)
         ):
-            for size in (0, LONG_BODY_BYTES_PER_S):
+            for size in (0, EXPECTED_UPLOAD_BYTES_PER_S):
                 self.caller.call(OperatorCall("PUT", "", bytes(size)), 10.0, self.outcomes.append)
         self.assertAlmostEqual(timeouts[1] - timeouts[0], 1.0)
 
@@ -526,7 +526,7 @@
         self.make_primary(4, 2)
         started = self.world.time
         self.assertEqual(self.call_and_wait(), Outcome(ClientReply(status=204), may_have_run=True))
-        self.assertLess(self.world.time - started, ATTEMPT_S + 0.1)
+        self.assertLess(self.world.time - started, ATTEMPT_TIMEOUT_S + 0.1)
         self.assertEqual(self.call_and_wait(), Outcome(ClientReply(status=204), may_have_run=False))
 
     def test_a_node_that_does_not_know_of_the_new_primary_is_passed_over(self) -> None:
@@ -588,7 +588,7 @@
         self.membership.offer_view(view_of(1, 3))
         self.silence(3)
         self.call()
-        self.world.run_for(ATTEMPT_S + 0.3)
+        self.world.run_for(ATTEMPT_TIMEOUT_S + 0.3)
         self.nodes[1].answer = ClientReply(status=201)
         self.world.run_for(0.4)
         self.assertEqual(self.outcomes, [Outcome(ClientReply(status=201), may_have_run=True)])
@@ -597,7 +597,7 @@
         self.membership.offer_view(view_of(1, 3))
         self.silence(3)
         self.call()
-        self.world.run_for(ATTEMPT_S + 0.3)
+        self.world.run_for(ATTEMPT_TIMEOUT_S + 0.3)
         self.nodes[3].answer = ClientReply(status=203)
         self.world.run_for(2.0)
         self.assertEqual(self.outcomes, [Outcome(ClientReply(status=203), may_have_run=True)])
@@ -610,7 +610,7 @@
         self.world.run_for(0.3)
         self.membership.offer_view(view_of(2, 1))
         self.nodes[1].answer = ClientReply(status=201)
-        self.world.run_for(ATTEMPT_S + 0.1)
+        self.world.run_for(ATTEMPT_TIMEOUT_S + 0.1)
         self.assertEqual(self.outcomes, [Outcome(ClientReply(status=201), may_have_run=True)])
 
     def test_a_scout_leaves_a_silent_candidate_for_the_primary_of_a_newer_view(self) -> None:
@@ -618,7 +618,7 @@
         for index in range(COUNTED):
             self.silence(index)
         self.call()
-        self.world.run_for(ATTEMPT_S + 0.1)
+        self.world.run_for(ATTEMPT_TIMEOUT_S + 0.1)
         self.nodes[1].answer = ClientReply(status=201)
         self.nodes[1].asked.clear()
         self.membership.offer_view(view_of(2, 1))
@@ -628,13 +628,13 @@
     def test_a_call_that_nobody_answers_does_not_hold_up_others(self) -> None:
         self.membership.offer_view(view_of(1, 3))
         self.nodes[3].answer = ClientReply(status=203)
-        unanswered: list[Outcome] = []
-        self.caller.call(StatusRequest(), 60.0, unanswered.append)
+        without_answer: list[Outcome] = []
+        self.caller.call(StatusRequest(), 60.0, without_answer.append)
         self.world.run_for(0.1)
         self.call(patience=50.0)
         self.world.run_for(10.0)
         self.assertEqual(self.outcomes, [Outcome(ClientReply(status=203), may_have_run=False)])
-        self.assertEqual(unanswered, [])
+        self.assertEqual(without_answer, [])
 
     def test_one_lost_answer_does_not_start_a_search(self) -> None:
         self.membership.offer_view(view_of(1, 3))
--- a/tests/system/test_programs.py
+++ b/tests/system/test_programs.py
@@ -11,10 +11,10 @@
 from typing import cast
 
 from pipitledge.agent.agent import Agent
-from pipitledge.ingress.control_front import ControlFront
+from pipitledge.ingress.control_plane_api import ControlPlaneApi
 from pipitledge.ingress.ingress import Ingress
 from pipitledge.ingress.readiness import Readiness
-from pipitledge.membership.founding_gate import FOUNDING_PATIENCE_SECONDS, FoundingGate
+from pipitledge.membership.bootstrap_gate import BOOTSTRAP_WAIT_SECONDS, BootstrapGate
 from pipitledge.membership.membership import Membership
 from pipitledge.programs.fronts import client_front, operator_front, readiness_front
 from pipitledge.programs.worker_front import worker_front
@@ -108,7 +108,7 @@
             nodes=lambda: [SimpleNamespace(address=address) for address in heard],
             seed_addresses=lambda: ["b:1", "c:1"],
         )
-        gate = FoundingGate(cast(Clock, clock), cast(Membership, membership), seeds=3)
+        gate = BootstrapGate(cast(Clock, clock), cast(Membership, membership), seeds=3)
         clock.now = lambda: waited_s
         return gate.open()
 
@@ -116,8 +116,8 @@
         self.assertTrue(self.gate(["b:1", "c:1"], 0.0))
 
     def test_with_more_than_half_it_opens_after_a_while(self) -> None:
-        self.assertFalse(self.gate(["b:1"], FOUNDING_PATIENCE_SECONDS - 0.1))
-        self.assertTrue(self.gate(["b:1"], FOUNDING_PATIENCE_SECONDS))
+        self.assertFalse(self.gate(["b:1"], BOOTSTRAP_WAIT_SECONDS - 0.1))
+        self.assertTrue(self.gate(["b:1"], BOOTSTRAP_WAIT_SECONDS))
 
     def test_alone_it_never_opens(self) -> None:
         self.assertFalse(self.gate(["d:1"], 1000.0))
@@ -126,7 +126,7 @@
         heard = [SimpleNamespace(address="b:1")]
         membership = SimpleNamespace(nodes=lambda: heard, seed_addresses=lambda: ["b:1", "c:1"])
         clock = SimpleNamespace(now=lambda: 0.0)
-        gate = FoundingGate(cast(Clock, clock), cast(Membership, membership), seeds=3)
+        gate = BootstrapGate(cast(Clock, clock), cast(Membership, membership), seeds=3)
         self.assertFalse(gate.open())
         heard[:] = [SimpleNamespace(address="c:1")]
         self.assertTrue(gate.open())
@@ -140,7 +140,7 @@
             nodes=lambda: [SimpleNamespace(address=address) for address in heard], seed_addresses=lambda: other_seeds
         )
         clock = SimpleNamespace(now=lambda: 0.0)
-        return FoundingGate(cast(Clock, clock), cast(Membership, membership), seeds=1).open()
+        return BootstrapGate(cast(Clock, clock), cast(Membership, membership), seeds=1).open()
 
 
 class FakeControl:
@@ -157,14 +157,14 @@
 
 class OperatorFrontTest(unittest.TestCase):
     def test_a_redirect_tells_where_to_call(self) -> None:
-        front = operator_front(cast(ControlFront, FakeControl(307, b"", "http://10.0.0.1:8146/x")))
+        front = operator_front(cast(ControlPlaneApi, FakeControl(307, b"", "http://10.0.0.1:8146/x")))
         response = ask(front, HttpRequest("GET", "/pipitledge/config", "", {}, b""))
         self.assertEqual(response, HttpResponse(307, b"", {"Location": "http://10.0.0.1:8146/x"}))
 
     def test_the_version_that_an_order_builds_on_is_passed_on(self) -> None:
         control = FakeControl(412, b"{}", "")
         request = HttpRequest("PUT", "/pipitledge/config", "", {"if-match": "5"}, b"body")
-        self.assertEqual(ask(operator_front(cast(ControlFront, control)), request), HttpResponse(412, b"{}"))
+        self.assertEqual(ask(operator_front(cast(ControlPlaneApi, control)), request), HttpResponse(412, b"{}"))
         self.assertEqual(control.calls, [("PUT", "/pipitledge/config", "5", b"body")])
 
 
--- a/tests/system/test_transfer.py
+++ b/tests/system/test_transfer.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from pipitledge.configuration import transfer
-from pipitledge.configuration.transfer import Received, TransferAssembly, TransferError, TransferSource
+from pipitledge.configuration.transfer import CompletedTransfer, TransferAssembly, TransferError, TransferSource
 from pipitledge.wire.messages import PartialTransfer, Update
 
 ORIGIN = "config"
@@ -27,12 +27,12 @@
         self.source = TransferSource(ORIGIN)
         self.assembly = TransferAssembly()
 
-    def pull(self, held: int = 0) -> list[Received]:
+    def pull(self, held: int = 0) -> list[CompletedTransfer]:
         """What one pull completes."""
-        received = [self.assembly.take(update) for update in self.source.updates(held, self.assembly.partial)]
+        received = [self.assembly.add(update) for update in self.source.updates(held, self.assembly.partial)]
         return [one for one in received if one is not None]
 
-    def pull_whole(self, held: int = 0) -> tuple[Received, int]:
+    def pull_whole(self, held: int = 0) -> tuple[CompletedTransfer, int]:
         """Pull until something is complete; that, and how many pulls it took."""
         for pulls in range(1, 1_000):
             received = self.pull(held)
@@ -44,47 +44,47 @@
 class PiecesTest(TransferCase):
     def test_no_answer_is_longer_than_a_piece(self) -> None:
         payload = noise(1, 1_950)
-        self.source.renew(7, payload)
+        self.source.publish(7, payload)
         received, pulls = self.pull_whole()
-        self.assertEqual(received, Received(0, 7, payload))
+        self.assertEqual(received, CompletedTransfer(0, 7, payload))
         self.assertEqual(pulls, 20)
         self.assertIsNone(self.assembly.partial)
 
     def test_nothing_new_is_nothing(self) -> None:
         self.assertEqual(self.source.updates(0, None), [])
-        self.source.renew(7, b"seven")
+        self.source.publish(7, b"seven")
         self.assertEqual(self.source.updates(7, None), [])
         self.assertEqual(self.source.updates(8, None), [])
 
     def test_a_newer_version_does_not_stop_a_transfer_that_has_begun(self) -> None:
         first = noise(1, 10 * PIECE)
-        self.source.renew(7, first)
+        self.source.publish(7, first)
         self.pull()
-        self.source.renew(8, noise(2, 10 * PIECE))
+        self.source.publish(8, noise(2, 10 * PIECE))
         received, pulls = self.pull_whole()
-        self.assertEqual((received, pulls), (Received(0, 7, first), 10))
+        self.assertEqual((received, pulls), (CompletedTransfer(0, 7, first), 10))
 
     def test_a_version_that_is_kept_no_longer_gives_way_to_the_newest(self) -> None:
-        self.source.renew(7, noise(7, 10 * PIECE))
+        self.source.publish(7, noise(7, 10 * PIECE))
         self.pull()
-        for version in range(8, 8 + transfer.WHOLES_KEPT):
-            self.source.renew(version, noise(version, 10 * PIECE))
+        for version in range(8, 8 + transfer.FULL_VERSIONS_KEPT):
+            self.source.publish(version, noise(version, 10 * PIECE))
             self.source.updates(0, None)
         received, _ = self.pull_whole()
-        self.assertEqual(received.version, 7 + transfer.WHOLES_KEPT)
+        self.assertEqual(received.version, 7 + transfer.FULL_VERSIONS_KEPT)
 
     def test_a_new_primary_goes_on_with_what_another_began(self) -> None:
         payload = noise(1, 10 * PIECE)
-        self.source.renew(7, payload)
+        self.source.publish(7, payload)
         self.pull()
         self.source = TransferSource(ORIGIN)
-        self.source.renew(7, payload)
+        self.source.publish(7, payload)
         received, pulls = self.pull_whole()
         self.assertEqual((received.payload, pulls), (payload, 10))
 
     def test_a_part_of_something_else_is_not_gone_on_with(self) -> None:
         payload = noise(1, 5 * PIECE)
-        self.source.renew(7, payload)
+        self.source.publish(7, payload)
         for partial in (
             PartialTransfer(ORIGIN, 0, 7, 1, 100),
             PartialTransfer("other", 0, 7, 0, 100),
@@ -96,16 +96,16 @@
 
     def test_pieces_twice_or_out_of_order_change_nothing(self) -> None:
         payload = noise(1, 5 * PIECE)
-        self.source.renew(7, payload)
+        self.source.publish(7, payload)
         [first] = self.source.updates(0, None)
-        self.assembly.take(first)
+        self.assembly.add(first)
         [second] = self.source.updates(0, self.assembly.partial)
-        self.assembly.take(second)
-        self.assertIsNone(self.assembly.take(second))
+        self.assembly.add(second)
+        self.assertIsNone(self.assembly.add(second))
         self.assertEqual(self.pull_whole()[0].payload, payload)
 
     def test_what_does_not_unpack_is_dropped(self) -> None:
-        self.source.renew(7, b"seven" * 10)
+        self.source.publish(7, b"seven" * 10)
         [update] = self.source.updates(0, None)
         for broken in (
             Update(ORIGIN, 7, update.payload, 0, update.digest + 1, 0, update.total),
@@ -113,31 +113,31 @@
             Update(ORIGIN, 7, update.payload[:-1], 0, transfer._digest(update.payload[:-1]), 0, update.total - 1),
         ):
             with self.assertRaises(TransferError):
-                self.assembly.take(broken)
+                self.assembly.add(broken)
             self.assertIsNone(self.assembly.partial)
-        with mock.patch.object(transfer, "LARGEST_DATASET", 10), self.assertRaises(TransferError):
-            self.assembly.take(update)
+        with mock.patch.object(transfer, "MAX_DATASET_BYTES", 10), self.assertRaises(TransferError):
+            self.assembly.add(update)
 
 
 class ChangesTest(TransferCase):
     def setUp(self) -> None:
         super().setUp()
-        self.source.renew(7, noise(7, 10 * PIECE))
+        self.source.publish(7, noise(7, 10 * PIECE))
 
     def change(self, version: int, size: int = 20) -> bytes:
         change = noise(100 + version, size)
-        self.source.renew(version, noise(version, 10 * PIECE), change)
+        self.source.publish(version, noise(version, 10 * PIECE), change)
         return change
 
     def test_a_node_gets_the_changes_that_it_lacks(self) -> None:
         eight, nine = self.change(8), self.change(9)
-        self.assertEqual(self.pull(held=7), [Received(7, 8, eight), Received(8, 9, nine)])
-        self.assertEqual(self.pull(held=8), [Received(8, 9, nine)])
+        self.assertEqual(self.pull(held=7), [CompletedTransfer(7, 8, eight), CompletedTransfer(8, 9, nine)])
+        self.assertEqual(self.pull(held=8), [CompletedTransfer(8, 9, nine)])
 
     def test_changes_that_are_long_come_in_pieces_too(self) -> None:
         eight = self.change(8, 4 * PIECE)
         received, pulls = self.pull_whole(held=7)
-        self.assertEqual((received, pulls), (Received(7, 8, eight), 5))
+        self.assertEqual((received, pulls), (CompletedTransfer(7, 8, eight), 5))
 
     def test_changes_that_together_are_longer_than_the_whole_are_not_worth_it(self) -> None:
         self.change(8, 6 * PIECE)
@@ -147,7 +147,7 @@
     def test_a_node_that_is_further_behind_gets_the_whole(self) -> None:
         with mock.patch.object(transfer, "CHANGES_KEPT", 2):
             self.source = TransferSource(ORIGIN)
-        self.source.renew(6, noise(6, 10 * PIECE))
+        self.source.publish(6, noise(6, 10 * PIECE))
         for version in (7, 8, 9):
             self.change(version)
         self.assertEqual(self.pull_whole(held=6)[0].base, 0)
@@ -155,13 +155,13 @@
 
     def test_a_version_that_came_whole_breaks_the_chain(self) -> None:
         self.change(8)
-        self.source.renew(9, noise(9, 10 * PIECE))
+        self.source.publish(9, noise(9, 10 * PIECE))
         self.assertEqual(self.pull_whole(held=8)[0].base, 0)
 
     def test_a_first_version_is_whole_however_it_came(self) -> None:
         self.source = TransferSource(ORIGIN)
-        self.source.renew(1, b"one", b"change")
-        self.assertEqual(self.pull(), [Received(0, 1, b"one")])
+        self.source.publish(1, b"one", b"change")
+        self.assertEqual(self.pull(), [CompletedTransfer(0, 1, b"one")])
 
 
 if __name__ == "__main__":
--- a/tests/system/whole_system_mutants.py
+++ b/tests/system/whole_system_mutants.py
@@ -12,7 +12,7 @@
 from pipitledge.agent.life import Lives
 from pipitledge.agent.orders import OrderDesk
 from pipitledge.agent.permit import Permit
-from pipitledge.configuration import keeper
+from pipitledge.configuration import configuration_service
 from pipitledge.emulator.cluster.auditor import Breach
 from pipitledge.replication.primary import Primary
 from pipitledge.runtime.handlers import Reply
@@ -110,28 +110,28 @@
 def _repeats_unknown() -> list[Any]:
     """An order of an operator that comes again is not known."""
     numbers = itertools.count()
-    return [mock.patch.object(keeper, "_digest", lambda call: f"{next(numbers):032x}")]
+    return [mock.patch.object(configuration_service, "_digest", lambda call: f"{next(numbers):032x}")]
 
 
 def _refusals_unsure() -> list[Any]:
     """Two orders on one version are both taken."""
 
-    def judge(self: Any, tenure: Any, call: Any) -> Any:
-        call.if_match = str(tenure.version)
-        return original(self, tenure, call)
+    def judge(self: Any, term_state: Any, call: Any) -> Any:
+        call.if_match = str(term_state.version)
+        return original(self, term_state, call)
 
-    original = keeper.ConfigurationKeeper._judge
-    return [mock.patch.object(keeper.ConfigurationKeeper, "_judge", judge)]
+    original = configuration_service.ConfigurationService._validate
+    return [mock.patch.object(configuration_service.ConfigurationService, "_validate", judge)]
 
 
 def _invalid_taken() -> list[Any]:
     """A refused configuration is acknowledged all the same."""
-    refusal = keeper._refusal
+    refusal = configuration_service._refusal
 
     def lie(status: int, reason: str) -> OperatorReply:
         return OperatorReply(200, b'{"version":1}') if status == 400 else refusal(status, reason)
 
-    return [mock.patch.object(keeper, "_refusal", lie)]
+    return [mock.patch.object(configuration_service, "_refusal", lie)]
 
 
 def _order_ignored() -> list[Any]:
