--- a/pipitledge/membership/__init__.py
+++ b/pipitledge/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which processes exist and who is primary: partial views shuffled by datagrams, and calls that find the primary."""
+"""Gossip membership over UDP (which processes are alive, who is primary) and calls routed to the current primary."""
--- a/pipitledge/membership/candidates.py
+++ b/pipitledge/membership/candidates.py
@@ -1,4 +1,4 @@
-"""Which nodes may be the primary, in the order in which a search asks them."""
+"""Candidates for the primary, in the order in which a search asks them."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from pipitledge.wire.messages import View
 
 UNRESPONSIVE_RETRY_S = 1.0
-"""A node that did not answer is left out for this long, while others do: each wait for it holds the search up."""
+"""A node that did not answer is skipped for this long while others answer, as each wait for it delays the search."""
 
 
 class Candidate(Struct, frozen=True):
-    """A node that may be the primary; the name is empty where only its address is known."""
+    """A node that may be the primary; the name is empty if only its address is known."""
 
     address: str
     name: str = ""
-    relay: str = ""  # address of the node by way of which it is called; empty: straight
+    relay: str = ""  # address of the relay through which it is called; empty: direct call
 
 
 def primary_of(view: View | None) -> Candidate | None:
-    """The primary of a view."""
+    """Return the primary of a view; None if there is no view or the primary is not among its members."""
     if view is None:
         return None
     addresses = (member.address for member in view.members if member.name == view.primary)
@@ -33,22 +33,22 @@
 
 
 class SearchRounds:
-    """Candidates one after the other, in rounds: each once a round."""
+    """Iterates over the candidates in rounds, each candidate once per round."""
 
     def __init__(self, clock: Clock, membership: Membership, randomness: random.Random) -> None:
-        """Rounds through the nodes that `membership` knows."""
+        """Create rounds over the nodes that `membership` knows."""
         self._clock = clock
         self._membership = membership
         self._random = randomness
-        self._asked: set[str] = set()  # addresses, in this round
-        self._unresponsive_until: dict[str, float] = {}  # addresses that did not answer when asked last, and until when
+        self._asked: set[str] = set()  # addresses asked in this round
+        self._unresponsive_until: dict[str, float] = {}  # address -> time until which it is skipped
 
     def start(self, failed: Candidate) -> None:
-        """Begin a search because `failed`, thought to be the primary, is not or does not answer."""
+        """Start a search after `failed`, the presumed primary, did not answer or answered that it isn't the primary."""
         self._asked = {failed.address}
 
     def next(self) -> Candidate | None:
-        """Whom to ask now; None at the end of a round."""
+        """Return the next candidate; None at the end of a round."""
         candidates = self._candidates()
         remaining = [candidate for candidate in candidates if candidate.address not in self._asked]
         if any(candidate.address not in self._unresponsive_until for candidate in candidates):
@@ -56,25 +56,24 @@
         if not remaining:
             self._asked.clear()
             return None
-        remaining.sort(
-            key=lambda candidate: candidate.address in self._unresponsive_until
-        )  # stable: the primary stays first
+        # The sort is stable: the primary stays first.
+        remaining.sort(key=lambda candidate: candidate.address in self._unresponsive_until)
         self._asked.add(remaining[0].address)
         return remaining[0]
 
     def on_newer_view(self) -> None:
-        """A newer view is known: its primary is asked next, also if it was asked before."""
+        """Make the primary of a newer view the next candidate, even if it was asked in this round."""
         primary = primary_of(self._membership.view)
         if primary is not None:
             self._asked.discard(primary.address)
             self._unresponsive_until.pop(primary.address, None)
 
     def mark_responsive(self, candidate: Candidate) -> None:
-        """That one is there, though not the primary."""
+        """Record that a candidate answered, though not as the primary."""
         self._unresponsive_until.pop(candidate.address, None)
 
     def mark_unresponsive(self, candidate: Candidate) -> None:
-        """That one did not answer: it is asked last from now on, and seldom."""
+        """Record that a candidate did not answer; from now on it is asked last, and skipped for a while."""
         self._unresponsive_until[candidate.address] = self._clock.now() + UNRESPONSIVE_RETRY_S
 
     def _is_skipped(self, candidate: Candidate) -> bool:
@@ -84,7 +83,7 @@
         )
 
     def _candidates(self) -> list[Candidate]:
-        """The primary of the newest view, its other members, other counted nodes; seeds where no view is known."""
+        """Return the primary of the newest view, its other members, other voting nodes; the seeds if no view is known."""
         view = self._membership.view
         primary = primary_of(view)
         members = [] if view is None else [Candidate(member.address, member.name) for member in view.members]
--- a/pipitledge/membership/membership.py
+++ b/pipitledge/membership/membership.py
@@ -1,7 +1,8 @@
-"""Which processes exist, and the newest view of who leads: spread by shuffling partial views over datagrams.
+"""Gossip of the processes that exist and of the newest view (who is primary), by shuffles over UDP datagrams.
 
-A process starts with nothing but its seeds. It asks one neighbour at a time for a sample of what that one knows and
-sends a sample of its own along; seeds are asked again for ever, so that parts which lost each other meet again.
+A process starts with nothing but the addresses of its seeds. It repeatedly asks one neighbour for a sample of that
+neighbour's partial view and sends a sample of its own along. It never stops asking the seeds, so that parts of the
+system that were cut off from each other for long find each other again.
 """
 
 from __future__ import annotations
@@ -19,46 +20,48 @@
 ViewListener = Callable[[View], None]
 
 ALIVE_TIMEOUT_S = 10.0
-"""A process that was heard of within this time counts as alive."""
+"""A process counts as alive if it was last seen, here or by a gossiping process, within this time."""
 FORGET_AFTER_S = 60.0
-"""A process that was not heard of for this long is no longer sought."""
+"""A process that was not seen for this long is dropped, and no longer asked in order to reconnect."""
 DISCOVERY_INTERVAL_S = 0.1
-"""Between requests while nobody is known, soon after the start."""
+"""Time between requests while no process is known, soon after the start."""
 SLOW_DISCOVERY_INTERVAL_S = 0.5
-"""Between requests while nobody is known, later on."""
+"""Time between requests while no process is known, after `FAST_DISCOVERY_S`."""
 WARMUP_INTERVAL_S = 0.2
-"""Between requests soon after the start, once somebody is known."""
+"""Time between requests soon after the start, once a process is known."""
 SHUFFLE_INTERVAL_S = 1.0
-"""Between requests, among few processes."""
+"""Time between requests in a small system."""
 MIN_SHUFFLE_INTERVAL_S = 0.5
-"""Between requests, among many, so that each is heard of often enough."""
+"""Time between requests in a large system; shorter, so that each process is still mentioned often enough."""
 AGENT_SHUFFLE_INTERVAL_S = 3.0
-"""Between requests of an agent: there are many, and none needs to know the others."""
+"""Time between requests of an agent: there are many agents, and none needs to know the others."""
 SMALL_SYSTEM_SIZE = 20
-"""Up to this many are few; beyond, the interval shrinks in proportion."""
+"""Number of known processes above which the shuffle interval shrinks in proportion."""
 FAST_DISCOVERY_S = 2.0
-"""How long nobody may be known before requests become fewer."""
+"""How long after its start a process that knows no other one asks at the fast rate."""
 WARMUP_S = 3.0
-"""How long after its start a process asks often."""
+"""How long after its start a process asks more often, and asks seeds more often."""
 RECONNECT_INTERVAL_S = 3.0
-"""Between requests to a seed or to a process that has fallen silent."""
+"""Time between requests to a seed and to a process that is no longer seen."""
 FRESH_VIEW_S = 5.0
-"""How long a view is sent with each request; later only in answers to those that may not have it."""
+"""How long a new view is sent with each request; later only in answers to requests with an older view."""
 
 MAX_SAMPLE_SIZE = 8
-"""Descriptors in a shuffle, at most."""
+"""Maximum number of descriptors in a shuffle."""
 AGENT_SAMPLE_SIZE = 5
-"""Descriptors in a shuffle to or from an agent, at most."""
+"""Maximum number of descriptors in a shuffle to or from an agent."""
 MIN_SAMPLE_SIZE = 2
+"""Minimum number of descriptors in a shuffle, also with a large view; all that an agent's request carries."""
 MAX_DATAGRAM_BYTES = 1200
-"""Length that shuffles are kept to, so that networks carry them whole."""
+"""Maximum length of a shuffle, so that networks don't fragment it."""
 SHUFFLE_HEADER_BYTES = 160
+"""Estimated length of a shuffle without descriptors and view."""
 DESCRIPTOR_BYTES = 80
-"""Of a descriptor or member, on the wire, besides its name and address; zones and the like are sent once."""
+"""Encoded length of a descriptor or member without its name and address; zones and the like are sent only once."""
 
 
 class Membership:
-    """This process's part in the exchange."""
+    """This process's part in the gossip."""
 
     def __init__(
         self,
@@ -69,7 +72,7 @@
         seeds: list[str],
         internal_port: int,
     ) -> None:
-        """Membership of the process `me`; `seeds` are "ip:port" of control planes, of which only the ip is used."""
+        """Create the membership of the process `me`; `seeds` are control plane "ip:port"s, of which only the ip is used."""
         self.me = me
         self._is_agent = me.machine_class == AGENT_MACHINE_CLASS
         self._clock = clock
@@ -89,45 +92,45 @@
         self.update_seeds(seeds)
 
     def register(self, handlers: Handlers) -> None:
-        """Take shuffles."""
+        """Register the handler of shuffles."""
         handlers.on_datagram(Shuffle, self._on_shuffle)
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start to send requests."""
         self._running = True
         self._started_at = self._clock.now()
         self._shuffle()
         self._schedule(RECONNECT_INTERVAL_S, self._reconnect)
 
     def stop(self) -> None:
-        """Ask and answer no more, so that the others forget this process."""
+        """Send no more requests or answers, so that the other processes forget this one."""
         self._running = False
         self._stopped = True
 
     def update_seeds(self, seeds: list[str]) -> None:
-        """Use these seeds from now on."""
+        """Replace the seeds, after a change of the settings."""
         addresses = internal_addresses(seeds, self._internal_port)
         self._seeds = [address for address in addresses if address != self.me.address]
 
     def seed_addresses(self) -> list[str]:
-        """Internal addresses of the seeds, without this process."""
+        """Return the internal addresses of the seeds, without this process."""
         return list(self._seeds)
 
     def nodes(self) -> list[NodeDescriptor]:
-        """The other processes that are alive."""
+        """Return the other processes, nodes and agents, that are alive."""
         return self._partial_view.seen_since(self._alive_since())
 
     def counted(self) -> list[NodeDescriptor]:
-        """The other counted nodes that are alive."""
+        """Return the other voting nodes that are alive."""
         return [node for node in self.nodes() if node.counted]
 
     def find(self, name: str) -> NodeDescriptor | None:
-        """Another process by its name, also if it has fallen silent."""
+        """Return another process by its name, also if it is no longer alive; None if it is unknown."""
         return self._partial_view.find(name)
 
     @property
     def view(self) -> View | None:
-        """The newest view heard of."""
+        """The newest view known here; None before the first."""
         return self._view
 
     def on_view(self, listener: ViewListener) -> None:
@@ -135,7 +138,7 @@
         self._listeners.append(listener)
 
     def offer_view(self, view: View | None) -> None:
-        """Take in a view; one that is no newer changes nothing."""
+        """Adopt a view and notify the listeners if it is newer than the current one."""
         if not _is_newer(view, self._view):
             return
         assert view is not None
@@ -148,7 +151,7 @@
         self._clock.at(self._clock.now() + delay, lambda: action() if self._running else None)
 
     def _shuffle(self) -> None:
-        """Ask one neighbour, and set the time of the next request."""
+        """Send a request to one process, and schedule the next request."""
         self._partial_view.forget(self._clock.now() - FORGET_AFTER_S)
         target = self._choose_target()
         if target is not None:
@@ -169,9 +172,10 @@
         return min(SHUFFLE_INTERVAL_S, max(MIN_SHUFFLE_INTERVAL_S, interval))
 
     def _choose_target(self) -> str | None:
-        """By turns any neighbour and the oldest; a seed in its place soon after the start and while there is none.
+        """Return the address to ask: in turns a random live process and the one that was seen the longest ago.
 
-        Agents ask nodes alone.
+        Soon after the start, and while none is known, a seed is asked in place of the latter. Agents ask only nodes
+        and seeds.
         """
         nodes = self.nodes()
         if self._is_agent:
@@ -182,18 +186,18 @@
             return self._random.choice(nodes).address
         oldest = self._partial_view.oldest_seen_since(self._alive_since())
         if oldest is None or self._clock.now() - self._started_at < WARMUP_S:
-            return self._next_seed_address()  # some know each other only, until one of them asks a seed
+            return self._next_seed_address()  # a group that knows only itself needs a seed to find the others
         return oldest.address
 
     def _next_seed_address(self) -> str | None:
-        """The seeds in turn."""
+        """Return the seeds in turn; None if there are none."""
         if not self._seeds:
             return None
         self._seed_index += 1
         return self._seeds[self._seed_index % len(self._seeds)]
 
     def _reconnect(self) -> None:
-        """Ask a seed, and one of those that have fallen silent: both may be on the far side of a cut that is mended."""
+        """Ask a seed and a process that is no longer alive: both may be reachable again after a network partition."""
         silent = self._partial_view.not_seen_since(self._alive_since())
         targets = [self._next_seed_address(), self._random.choice(silent).address if silent else None]
         for target in targets:
@@ -206,7 +210,7 @@
         view = self._view if now - self._view_learned_at < FRESH_VIEW_S else None
         count = _sample_size(self.me, view)
         if self._is_agent:
-            count = MIN_SAMPLE_SIZE  # what an agent knows, nodes have told it
+            count = MIN_SAMPLE_SIZE  # an agent knows only what it learned from nodes
         elif self._is_agent_at(address):
             count = min(count, AGENT_SAMPLE_SIZE)
         sample = self._partial_view.sample(now, count, self._alive_since())
@@ -235,7 +239,7 @@
         self._network.datagram(request.sender.address, answer)
 
     def _is_agent_at(self, address: str) -> bool:
-        """Whether an agent is known to have that address."""
+        """Return whether a known agent has that address."""
         return any(node.address == address and node.machine_class == AGENT_MACHINE_CLASS for node in self.nodes())
 
     def _alive_since(self) -> float:
@@ -243,7 +247,7 @@
 
 
 def internal_addresses(seeds: list[str], internal_port: int) -> list[str]:
-    """Where nodes reach the seeds, which are "ip:port" of control planes; the internal port is alike everywhere."""
+    """Return internal addresses of seeds given as control plane "ip:port"; all nodes use the same internal port."""
     return [f"{seed.rpartition(':')[0]}:{internal_port}" for seed in seeds]
 
 
@@ -252,7 +256,7 @@
 
 
 def _sample_size(me: NodeDescriptor, view: View | None) -> int:
-    """How many descriptors a shuffle with that view has available_bytes for, if the others' names are like ours."""
+    """Return how many descriptors fit into a shuffle with `view`, if other names are as long as that of `me`."""
     descriptor = DESCRIPTOR_BYTES + len(me.name) + len(me.address)
     members = [] if view is None else view.members
     view_bytes = sum(DESCRIPTOR_BYTES + len(member.name) + len(member.address) for member in members)
--- a/pipitledge/membership/partial_view.py
+++ b/pipitledge/membership/partial_view.py
@@ -1,7 +1,8 @@
-"""A bounded view of the processes that exist, kept fresh by exchanges of samples (as in Cyclon).
+"""A bounded view of the processes that exist, kept fresh by exchanging samples (as in the Cyclon protocol).
 
-Each entry is a descriptor and the time at which its process last spoke, as far as is known here. What is younger
-wins; what is oldest makes room. Counted nodes stay in preference to others, as everyone has to find them.
+Each entry holds a descriptor and the time at which its process was last seen. Of two entries of a process the younger
+one is kept; when the view is full, the oldest entry is evicted. Voting nodes are evicted last, because every process
+has to find them.
 """
 
 from __future__ import annotations
@@ -15,86 +16,86 @@
 from pipitledge.wire.messages import NodeDescriptor
 
 VIEW_SIZE = 64
-"""Entries kept: in a system of up to this many processes, everyone knows everyone."""
+"""Maximum number of entries: in a system of up to this size, every process knows all others."""
 
 GOSSIP_MARGIN_S = 0.5
-"""Hearsay has to be younger by this much to count as recent: otherwise the time that messages spend under way would
-make it younger at each step, and those long gone would be talked of for ever."""
+"""An entry received by gossip replaces a known one only if it is younger by this much. Ages don't include the time that
+a message spends on the network, so an entry would get younger at each hop, and dead processes would never be dropped."""
 
 LOST_DISK_SILENCE_S = 3.0
-"""A process whose starts count from lower again (its disk was lost) is believed once its former self has been silent
-for this much longer."""
+"""A descriptor with a lower start count than the known one (the process lost its disk) replaces it once the former
+incarnation has not been seen for this much longer."""
 
 YOUNGEST_DIVISOR = 4
-"""Most recent are of the youngest 1/4 of all entries: what is young spreads before it is old."""
+"""Most of the entries drawn for a sample are of the youngest 1/4, so that they spread before they are old."""
 
 COUNTED_DIVISOR = 4
-"""Of recent, 1/4 are of counted nodes, which everyone has to know."""
+"""1/4 of the entries drawn for a sample are voting nodes, which every process has to know."""
 
 RANDOM_DIVISOR = 4
-"""Of recent, 1/4 are of any entry, so that all come to be known."""
+"""1/4 of the entries drawn for a sample are of any age, so that all processes become known."""
 
 RELAYS_PER_ANSWER = 1
-"""Of an answer that names counted nodes first, so many are nodes that do not count."""
+"""Number of non-voting nodes, which can be relays, in an answer with voting nodes first."""
 
 AGENT_MACHINE_CLASS = "side"
-"""Machine class of agents."""
+"""The machine class that agents have in their descriptors."""
 
 MS_PER_S = 1000
 
 
 @dataclass(slots=True, eq=False)
 class Neighbour:
-    """One entry."""
+    """One entry of the partial view."""
 
     descriptor: NodeDescriptor
-    last_seen_at: float  # steady time at which its process spoke, at the latest
+    last_seen_at: float  # monotonic time at which the process was last seen, by this process or another one
 
 
 class PartialView:
-    """What one process knows of the others."""
+    """The processes that one process knows."""
 
     def __init__(self, own_name: str, randomness: random.Random, capacity: int = VIEW_SIZE) -> None:
-        """An empty view of the process `own_name`, which itself is never an entry."""
+        """Create the empty view of the process `own_name`, which itself is never an entry."""
         self._own_name = own_name
         self._random = randomness
         self._capacity = capacity
         self._neighbours: dict[str, Neighbour] = {}
 
     def __len__(self) -> int:
-        """Number of entries, also of processes that have fallen silent."""
+        """Return the number of entries, including processes that are no longer seen."""
         return len(self._neighbours)
 
     def find(self, name: str) -> NodeDescriptor | None:
-        """The process of that name."""
+        """Return the descriptor of the process of that name; None if it is unknown."""
         neighbour = self._neighbours.get(name)
         return None if neighbour is None else neighbour.descriptor
 
     def seen_since(self, when: float) -> list[NodeDescriptor]:
-        """All that spoke at or after that time."""
+        """Return all processes last seen at or after `when`."""
         return [neighbour.descriptor for neighbour in self._neighbours.values() if neighbour.last_seen_at >= when]
 
     def not_seen_since(self, when: float) -> list[NodeDescriptor]:
-        """All that have not spoken since that time."""
+        """Return all processes last seen before `when`."""
         return [neighbour.descriptor for neighbour in self._neighbours.values() if neighbour.last_seen_at < when]
 
     def oldest_seen_since(self, when: float) -> NodeDescriptor | None:
-        """Of those that spoke at or after that time, the one that did so first."""
+        """Return, of the processes seen at or after `when`, the one last seen the longest ago."""
         alive = [neighbour for neighbour in self._neighbours.values() if neighbour.last_seen_at >= when]
         return min(alive, key=_last_seen_at).descriptor if alive else None
 
     def record_contact(self, descriptor: NodeDescriptor, now: float) -> None:
-        """Take in what a process says of itself, right now."""
+        """Record the descriptor that a process has just sent of itself."""
         self._offer(Neighbour(descriptor, now), margin=0.0)
 
     def record_gossip(self, descriptors: Iterable[NodeDescriptor], now: float) -> None:
-        """Take in what another process says of others."""
+        """Record descriptors of other processes, as received in a sample."""
         for descriptor in descriptors:
             last_seen_at = now - max(0, descriptor.age_ms) / MS_PER_S
             self._offer(Neighbour(descriptor, last_seen_at), margin=GOSSIP_MARGIN_S)
 
     def sample(self, now: float, count: int, since: float) -> list[NodeDescriptor]:
-        """What to send with a request: the oldest entries, for recent of them, and some of the youngest, as recent."""
+        """Return the sample of a request: the oldest entries, to get them refreshed, and mostly young ones to spread."""
         alive = sorted((entry for entry in self._neighbours.values() if entry.last_seen_at >= since), key=_last_seen_at)
         oldest = alive[: count // 2]
         recent = self._draw_recent(alive[count // 2 :], count - len(oldest))
@@ -103,9 +104,9 @@
     def answer(
         self, asked: Iterable[NodeDescriptor], now: float, count: int, since: float, counted_first: bool = False
     ) -> list[NodeDescriptor]:
-        """What to send in answer to a sample: what is younger here, and some of the youngest that it lacks.
+        """Return the answer to a sample: entries that are younger here, and some of the youngest that it lacks.
 
-        `counted_first`: counted nodes before all others, whatever their age, but for one that may be a relay.
+        With `counted_first`, voting nodes of any age come before all others, except for one node that can be a relay.
         """
         ages = {descriptor.name: descriptor.age_ms for descriptor in asked}
         alive = sorted((entry for entry in self._neighbours.values() if entry.last_seen_at >= since), key=_last_seen_at)
@@ -120,7 +121,7 @@
         return [_aged(entry, now) for entry in chosen]
 
     def forget(self, before: float) -> None:
-        """Drop all that have not spoken since that time."""
+        """Drop all processes last seen before `before`."""
         for descriptor in self.not_seen_since(before):
             del self._neighbours[descriptor.name]
 
@@ -128,7 +129,7 @@
         return self._random.sample(entries, min(count, len(entries)))
 
     def _draw_recent(self, ordered: list[Neighbour], count: int) -> list[Neighbour]:
-        """Some counted nodes, some of any and some of the youngest, of entries that are ordered from old to young."""
+        """Draw some voting nodes, some entries of any age and some of the youngest; `ordered` is oldest first."""
         chosen = self._draw([entry for entry in ordered if entry.descriptor.counted], count // COUNTED_DIVISOR)
         chosen += self._draw([entry for entry in ordered if entry not in chosen], count // RANDOM_DIVISOR)
         others = [entry for entry in ordered if entry not in chosen]
@@ -154,12 +155,12 @@
 
 
 def _is_possible_relay(descriptor: NodeDescriptor) -> bool:
-    """Whether it is a node that does not count: it may reach those that another process can't."""
+    """Return whether it is a non-voting node, which can relay calls between processes that can't reach each other."""
     return not descriptor.counted and descriptor.machine_class != AGENT_MACHINE_CLASS
 
 
 def _supersedes(offered: Neighbour, known: Neighbour, margin: float) -> bool:
-    """Whether what is offered tells more of a process than what is known."""
+    """Return whether `offered` is newer information about the process than `known`."""
     if offered.descriptor.incarnation != known.descriptor.incarnation:
         newer_starts = offered.descriptor.started_sequence - known.descriptor.started_sequence
         if newer_starts > 0:
@@ -176,7 +177,7 @@
 
 
 def _aged(entry: Neighbour, now: float) -> NodeDescriptor:
-    """The descriptor, with its age as of now."""
+    """Return the descriptor with its current age."""
     age_ms = max(0, round((now - entry.last_seen_at) * MS_PER_S))
     return msgspec.structs.replace(entry.descriptor, age_ms=age_ms)
 
--- a/pipitledge/membership/primary_caller.py
+++ b/pipitledge/membership/primary_caller.py
@@ -1,7 +1,8 @@
-"""Calls that only the primary answers, sent to whoever it is by now.
+"""Client for calls that only the primary answers; it finds the current primary and retries.
 
-While the primary answers, each call goes straight to it. Once it does not, one call (the search_call) goes round the
-candidates, and the others wait for what it finds: a change of primary must not multiply the calls.
+While the primary answers, each call goes directly to it. Once it stops answering, a single call (the search call) tries
+the candidates one after the other while the other calls wait in a queue, so that a change of primary doesn't multiply
+the number of calls.
 """
 
 from __future__ import annotations
@@ -21,56 +22,57 @@
 from pipitledge.wire.messages import NotPrimary, OperatorCall, View
 
 ATTEMPT_TIMEOUT_S = 0.8
-"""Longest wait for one node, but for what a long request takes on its way."""
+"""Timeout of one attempt at one node; the expected transfer time of a long request is added."""
 EXPECTED_UPLOAD_BYTES_PER_S = 500_000
-"""At which a long request is expected to pass the link of a node, packed."""
+"""Rate at which a node's link is expected to carry a long request, after compression."""
 MIN_ATTEMPT_TIMEOUT_S = 0.001
-"""Where patience is all but over; its end does not wait for the attempt's."""
+"""Lower bound of an attempt's timeout shortly before the call's deadline; the call still ends at its deadline."""
 INITIAL_BACKOFF_S = 0.03
-"""Pause after the first round of a search, or the first repetition of a call."""
+"""Pause after the first round of a search, or before the first retry of a call."""
 MAX_BACKOFF_S = 0.25
-"""Pauses double up to this."""
+"""The pause doubles with each round or retry, up to this value."""
 RELAYED_ATTEMPT_TIMEOUT_S = 0.4
-"""Longest wait for one node by way of a relay, during a search: it may be the node that does not answer."""
+"""Timeout of one relayed attempt during a search; it is short because the node itself may be the one that is down."""
 PROBE_INTERVAL_S = 1.0
-"""Between looks whether the primary can be reached without the relay again."""
+"""Time between probes that test whether the primary can be reached without the relay again."""
 PROBE_TIMEOUT_S = 0.5
+"""Timeout of such a probe."""
 
 LocalHandler = Callable[[Struct, Reply], bool]
 
 
 class Outcome(Struct):
-    """How a call ended."""
+    """Result of a call to the primary."""
 
-    reply: Struct | None = None  # None: patience was over first
-    may_have_run: bool = False  # an attempt went unanswered: the request may have been carried out, or yet be
+    reply: Struct | None = None  # None: the call timed out
+    may_have_run: bool = False  # an attempt got no answer: the request may have been executed, or may still be
 
 
 OutcomeHandler = Callable[[Outcome], None]
 
 
 def transfer_time_s(request: Struct) -> float:
-    """Seconds that a request may be on its way for its length, beside the time that any request may take."""
+    """Return the extra seconds to allow for sending a long request body."""
     return len(request.body) / EXPECTED_UPLOAD_BYTES_PER_S if isinstance(request, OperatorCall) else 0.0
 
 
 class _Call:
-    """One call under way."""
+    """One call in progress."""
 
     def __init__(self, request: Struct, deadline: float, on_done: OutcomeHandler) -> None:
         self.request = request
         self.deadline = deadline
         self.on_done = on_done
         self.may_have_run = False
-        self.attempt = 0  # rises with whatever happens to the call; what belongs to a former number comes too late
-        self.asked: Candidate | None = None  # whose answer is due
+        self.attempt = 0  # raised when an attempt starts or ends; answers and timers of older numbers are ignored
+        self.asked: Candidate | None = None  # the node whose answer is awaited
         self.backoff = INITIAL_BACKOFF_S
         self.expiry: Timer | None = None
         self.done = False
 
 
 class PrimaryCaller:
-    """Finds the primary for the calls of one process."""
+    """Sends the calls of one process to the primary, and searches for it when it does not answer."""
 
     def __init__(
         self,
@@ -82,9 +84,10 @@
         my_name: str = "",
         relayed_calls: RelayedCalls | None = None,
     ) -> None:
-        """A caller in the process `my_name`; `local` answers in place of the network where that is the one to ask.
+        """Create the caller of the process `my_name`.
 
-        With `detours`, a primary that can't be reached is called by way of a relay.
+        `local` handles calls in place of the network while this process is itself the candidate. With `relayed_calls`,
+        a primary that can't be reached directly is called through a relay.
         """
         self._clock = clock
         self._network = network
@@ -92,20 +95,19 @@
         self._local = local
         self._my_name = my_name
         self._rounds = SearchRounds(clock, membership, randomness)
-        self._primary = primary_of(membership.view)  # whom calls go to; None: it is being searched for
-        self._last_answer_at = clock.now()  # when the primary last did
+        self._primary = primary_of(membership.view)  # target of all calls; None while a search is running
+        self._last_answer_at = clock.now()  # when the primary last answered
         self._search_call: _Call | None = None
         self._search_backoff = INITIAL_BACKOFF_S
         self._waiting: deque[_Call] = deque()
         self._relayed_calls = relayed_calls
-        self._next_relayed_candidate: Candidate | None = (
-            None  # the primary by way of a relay, where that is to be tried next
-        )
+        # The primary through a relay, if the search has to try that next.
+        self._next_relayed_candidate: Candidate | None = None
         self._probe_at = 0.0
         membership.on_view(self._on_newer_view)
 
     def call(self, request: Struct, timeout_s: float, on_done: OutcomeHandler) -> None:
-        """Have the primary answer `request`; `on_done` is called once, within `patience_s` seconds."""
+        """Send `request` to the primary; `on_done` is called once, within `timeout_s` seconds."""
         call = _Call(request, self._clock.now() + timeout_s, on_done)
         call.expiry = self._clock.at(call.deadline, partial(self._finish, call, None))
         self._dispatch(call)
@@ -113,7 +115,7 @@
     # ---- calls to the primary
 
     def _dispatch(self, call: _Call) -> None:
-        """Send a call to the primary, or let it wait for, or go on, the search."""
+        """Send a call to the primary; if none is known, start a search with it or queue it behind the running search."""
         if call.done:
             return
         if self._primary is not None:
@@ -134,10 +136,12 @@
         self._offer_view(reply)
         if asked != self._primary:
             self._dispatch(call)
-        elif self._last_answer_at > sent_at:  # it answers others: this answer may have been lost, or was given early
+        elif (
+            self._last_answer_at > sent_at
+        ):  # it answered another call since: retry, as only this answer was lost or came too early
             self._retry_later(call)
         else:
-            self._start_search(asked, answered=reply is not None)
+            self._prepare_search(asked, answered=reply is not None)
             self._dispatch(call)
 
     def _retry_later(self, call: _Call) -> None:
@@ -146,8 +150,8 @@
 
     # ---- search
 
-    def _start_search(self, former: Candidate, answered: bool) -> None:
-        """The primary is not known any longer: the next call to be dispatched is the search_call."""
+    def _prepare_search(self, former: Candidate, answered: bool) -> None:
+        """Drop the primary that did not answer as such; the call that is dispatched next becomes the search call."""
         self._primary = None
         self._search_backoff = INITIAL_BACKOFF_S
         self._rounds.start(former)
@@ -156,7 +160,7 @@
             self._try_relay_next(former)
 
     def _try_relay_next(self, unreachable: Candidate) -> None:
-        """Try a node that did not answer by way of a relay: this process may be cut off from it, and others not."""
+        """Try an unreachable node through a relay next: only the path from this process to it may be cut."""
         relay = (
             self._relayed_calls.choose_relay((unreachable.address, unreachable.relay))
             if self._relayed_calls is not None
@@ -165,7 +169,7 @@
         self._next_relayed_candidate = Candidate(unreachable.address, unreachable.name, relay) if relay else None
 
     def _probe_direct_path(self, primary: Candidate) -> None:
-        """Now and then see whether the primary can be reached straight again."""
+        """While calls go through a relay, probe from time to time whether the primary can be reached directly again."""
         now = self._clock.now()
         if self._relayed_calls is None or not primary.relay or now < self._probe_at:
             return
@@ -184,7 +188,7 @@
             self._rounds.mark_unresponsive(candidate)
 
     def _ask_next_candidate(self) -> None:
-        """Let the search_call ask the next candidate, after a backoff where a round is over."""
+        """Send the search call to the next candidate; at the end of a round, start the next one after a pause."""
         search_call = self._search_call
         if search_call is None:
             return
@@ -198,19 +202,19 @@
         self._send(search_call, candidate, partial(self._on_search_reply, search_call, candidate))
 
     def _try_relay_to_primary_next(self) -> None:
-        """A round is over: begin the next one with the primary of the newest view, by way of another relay."""
+        """Start the next round with the primary of the newest view, through another relay."""
         primary = primary_of(self._membership.view)
         if primary is not None:
             self._try_relay_next(primary)
 
     def _start_next_round(self, search_call: _Call, attempt: int) -> None:
-        """Begin the next round, unless something else has happened."""
+        """Start the next round, unless the search call has changed or has been sent elsewhere since."""
         if search_call is self._search_call and search_call.attempt == attempt:
             self._rotate_search_call()
             self._ask_next_candidate()
 
     def _rotate_search_call(self) -> None:
-        """Let another call be the search_call: the one that was may itself be what nobody answers."""
+        """Make another call the search call: no node may be able to answer the current one."""
         if self._search_call is not None:
             self._waiting.append(self._search_call)
         self._search_call = self._pop_waiting()
@@ -231,13 +235,12 @@
             return
         attempt = search_call.attempt
         self._offer_view(reply)
-        if (
-            search_call is self._search_call and search_call.attempt == attempt
-        ):  # else the view was news, and its primary is being asked
+        # Otherwise the reply brought a newer view, and the primary of that view is being asked already.
+        if search_call is self._search_call and search_call.attempt == attempt:
             self._ask_next_candidate()
 
     def _end_search(self, primary: Candidate) -> None:
-        """The search is over: all that waited go there."""
+        """End the search and send all waiting calls to `primary`."""
         self._set_primary(primary)
         self._search_call = None
         waiting, self._waiting = self._waiting, deque()
@@ -245,7 +248,7 @@
             self._dispatch(call)
 
     def _on_newer_view(self, view: View) -> None:
-        """Turn to the primary of a newer view; in a search it is asked at once, also if an answer is still due."""
+        """Switch to the primary of a newer view; a running search asks it at once and abandons the current attempt."""
         self._rounds.on_newer_view()
         primary = primary_of(view)
         search_call = self._search_call
@@ -258,7 +261,7 @@
             self._ask_next_candidate()
 
     def _set_primary(self, primary: Candidate) -> None:
-        """Send calls there from now on."""
+        """Send calls to `primary` from now on."""
         if primary != self._primary:
             self._primary = primary
             self._last_answer_at = self._clock.now()
@@ -266,14 +269,14 @@
     # ---- one call
 
     def _send(self, call: _Call, candidate: Candidate, on_reply: ReplyHandler) -> None:
-        """Make one attempt; `on_reply` is not called if it is abandoned."""
+        """Make one attempt; `on_reply` is not called if the attempt is abandoned."""
         call.attempt += 1
         call.asked = candidate
         attempt = call.attempt
         is_search = candidate != self._primary
-        longest_timeout_s = RELAYED_ATTEMPT_TIMEOUT_S if candidate.relay and is_search else ATTEMPT_TIMEOUT_S
-        longest_timeout_s += transfer_time_s(call.request)
-        timeout = max(MIN_ATTEMPT_TIMEOUT_S, min(call.deadline - self._clock.now(), longest_timeout_s))
+        attempt_timeout_s = RELAYED_ATTEMPT_TIMEOUT_S if candidate.relay and is_search else ATTEMPT_TIMEOUT_S
+        attempt_timeout_s += transfer_time_s(call.request)
+        timeout = max(MIN_ATTEMPT_TIMEOUT_S, min(call.deadline - self._clock.now(), attempt_timeout_s))
 
         def on_answer(reply: Struct | None) -> None:
             if call.done or call.attempt != attempt:
@@ -293,7 +296,7 @@
             self._network.call(candidate.address, call.request, timeout, on_answer)
 
     def _abandon_attempt(self, call: _Call) -> None:
-        """Wait no longer for the answer that is due, if one is."""
+        """Ignore the answer of the current attempt, if there is one."""
         call.attempt += 1
         call.may_have_run = call.may_have_run or call.asked is not None
         call.asked = None
--- a/pipitledge/membership/relayed_calls.py
+++ b/pipitledge/membership/relayed_calls.py
@@ -1,9 +1,8 @@
-"""Calls by way of a relay, between two processes of which one can't reach the other.
+"""Calls through a relay, between two processes that can't reach each other directly.
 
-A relay is a node that does not count and reaches both. It passes a call on once, as it came, and hands the answer
-back; it decides nothing and keeps nothing. The receiver remembers by which relay a sender came, and calls it back the
-same way.
-Members never call each other so: what replication takes for a lost message stays one.
+A relay is a non-voting node that reaches both. It forwards a call once, unchanged, and returns the answer; it keeps no
+state of the call. The receiver remembers through which relay a sender's call came, and calls back through the same one.
+Voting members never call each other through relays, because replication relies on a lost message being lost.
 """
 
 from __future__ import annotations
@@ -21,33 +20,33 @@
 from pipitledge.wire import codec
 from pipitledge.wire.messages import Forward, Forwarded
 
-ROUTE_VALID_S = 3.0  # after the last call by a relay, calls back go by it, too
-RELAY_SLACK_S = 0.05  # by which a relay gives up before its caller does
+ROUTE_VALID_S = 3.0  # how long after a relayed call the calls back to its sender use the same relay
+RELAY_SLACK_S = 0.05  # a relay times out this much earlier than its caller
 MS_PER_S = 1000.0
 
 
 class RelayedCalls:
-    """Makes calls by relays, is a relay for others, and takes what relays bring."""
+    """Makes calls through relays, forwards calls as a relay, and receives relayed calls."""
 
     def __init__(
         self, clock: Clock, network: Network, membership: Membership, handlers: Handlers, randomness: random.Random
     ) -> None:
-        """Answer what relays bring by `handlers`."""
+        """Create the relay support of one process; relayed calls that arrive here are answered by `handlers`."""
         self._clock = clock
         self._network = network
         self._membership = membership
         self._handlers = handlers
         self._random = randomness
-        self._routes: dict[str, _RelayRoute] = {}  # by address of the sender
+        self._routes: dict[str, _RelayRoute] = {}  # by address of the process that sent the relayed call
 
     def register(self) -> None:
-        """Take calls that go by way of a relay."""
+        """Register the handler of relayed calls."""
         self._handlers.on_call(Forward, self._on_forward)
 
     # ---- as a caller
 
     def choose_relay(self, except_for: Sequence[str] = ()) -> str:
-        """The address of a node that may be a relay; empty if none is known."""
+        """Return the address of a random node that can be a relay; empty if none is known."""
         nodes = [
             node for node in self._membership.nodes() if not node.counted and node.machine_class != AGENT_MACHINE_CLASS
         ]
@@ -55,7 +54,7 @@
         return self._random.choice(addresses) if addresses else ""
 
     def call(self, address: str, request: Struct, timeout: float, on_reply: ReplyHandler) -> None:
-        """Call as the network does, but back by the relay by which the receiver called last, if it did lately."""
+        """Call directly, or through the relay that the receiver used for a recent call to this process."""
         route = self._routes.get(address)
         if route is not None and self._clock.now() < route.until:
             self.call_via(route.relay, address, request, timeout, on_reply)
@@ -63,11 +62,11 @@
             self._network.call(address, request, timeout, on_reply)
 
     def datagram(self, address: str, message: Struct) -> None:
-        """Send once over UDP, straight."""
+        """Send one datagram over UDP; datagrams are never relayed."""
         self._network.datagram(address, message)
 
     def call_via(self, relay: str, address: str, request: Struct, timeout: float, on_reply: ReplyHandler) -> None:
-        """Call by way of a relay."""
+        """Call `address` through `relay`."""
         relay_timeout_ms = int(max(0.0, timeout - RELAY_SLACK_S) * MS_PER_S)
         forward = Forward(
             target=address,
@@ -78,11 +77,11 @@
         self._network.call(relay, forward, timeout, lambda reply: on_reply(self._unwrap_reply(reply)))
 
     def probe(self, address: str, timeout: float, on_reply: ReplyHandler) -> None:
-        """See whether a process can be reached straight; if so, it calls back straight, too."""
+        """Test whether a process can be reached directly; if it is, it stops using a relay for calls back, too."""
         self._network.call(address, Forward(origin=self._membership.me.address), timeout, on_reply)
 
     def _unwrap_reply(self, reply: Struct | None) -> Struct | None:
-        """The answer that a relay brought, if it is one."""
+        """Return the receiver's answer from the relay's reply; None if the receiver did not answer."""
         if not isinstance(reply, Forwarded):
             return None
         self._membership.offer_view(reply.view)
@@ -102,7 +101,7 @@
         elif forward.target == self._membership.me.address:
             self._deliver(forward, reply)
         elif forward.relay:
-            reply(Forwarded())  # it has on_answer a relay already, and was meant for another process at this address
+            reply(Forwarded())  # already relayed once: the call was meant for another process that had this address
         else:
             self._forward(forward, reply)
 
@@ -130,7 +129,7 @@
 
 
 class _RelayRoute(Struct, frozen=True):
-    """By which relay a process called last."""
+    """The relay through which a process called last."""
 
     relay: str
-    until: float  # steady time
+    until: float  # on this process's monotonic clock
