--- a/pipitledge/membership/candidates.py
+++ b/pipitledge/membership/candidates.py
@@ -83,7 +83,7 @@
         )
 
     def _candidates(self) -> list[Candidate]:
-        """Return the primary of the newest view, its other members, other voting nodes; the seeds if no view is known."""
+        """Return the primary of the newest view, its other members and other voting nodes; the seeds without a view."""
         view = self._membership.view
         primary = primary_of(view)
         members = [] if view is None else [Candidate(member.address, member.name) for member in view.members]
--- a/pipitledge/membership/membership.py
+++ b/pipitledge/membership/membership.py
@@ -72,7 +72,7 @@
         seeds: list[str],
         internal_port: int,
     ) -> None:
-        """Create the membership of the process `me`; `seeds` are control plane "ip:port"s, of which only the ip is used."""
+        """Create the membership of the process `me`; of `seeds` (control plane "ip:port") only the ip is used."""
         self.me = me
         self._is_agent = me.machine_class == AGENT_MACHINE_CLASS
         self._clock = clock
--- a/pipitledge/membership/partial_view.py
+++ b/pipitledge/membership/partial_view.py
@@ -20,7 +20,7 @@
 
 GOSSIP_MARGIN_S = 0.5
 """An entry received by gossip replaces a known one only if it is younger by this much. Ages don't include the time that
-a message spends on the network, so an entry would get younger at each hop, and dead processes would never be dropped."""
+a message spends on the network, so an entry would get younger at each hop and dead processes would never be dropped."""
 
 LOST_DISK_SILENCE_S = 3.0
 """A descriptor with a lower start count than the known one (the process lost its disk) replaces it once the former
@@ -95,7 +95,7 @@
             self._offer(Neighbour(descriptor, last_seen_at), margin=GOSSIP_MARGIN_S)
 
     def sample(self, now: float, count: int, since: float) -> list[NodeDescriptor]:
-        """Return the sample of a request: the oldest entries, to get them refreshed, and mostly young ones to spread."""
+        """Return the sample of a request: the oldest entries, to get them refreshed, and younger ones to spread."""
         alive = sorted((entry for entry in self._neighbours.values() if entry.last_seen_at >= since), key=_last_seen_at)
         oldest = alive[: count // 2]
         recent = self._draw_recent(alive[count // 2 :], count - len(oldest))
--- a/pipitledge/membership/primary_caller.py
+++ b/pipitledge/membership/primary_caller.py
@@ -115,7 +115,7 @@
     # ---- calls to the primary
 
     def _dispatch(self, call: _Call) -> None:
-        """Send a call to the primary; if none is known, start a search with it or queue it behind the running search."""
+        """Send a call to the primary; if none is known, start a search with it or queue it behind the running one."""
         if call.done:
             return
         if self._primary is not None:
