--- a/pipitledge/configuration/__init__.py
+++ b/pipitledge/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' configuration: its model, its checks, their calls, and its delivery to the data plane."""
+"""The operators' configuration: its model, validation, replicated storage and delivery to data plane nodes."""
--- a/pipitledge/configuration/checks.py
+++ b/pipitledge/configuration/checks.py
@@ -1,7 +1,7 @@
-"""Checks of the operators' JSON: a whole configuration, or a change that is merged onto the current one.
+"""Validation of the operators' JSON: a full configuration, or a change that is merged into the current one.
 
-A check never raises: it gives a `ParsedConfiguration` or an `InvalidConfiguration`, which names each wrong field by its
-place. Fields that this version doesn't know are kept as sent. What a change says of an item replaces it whole.
+A check never raises: it returns a `ParsedConfiguration`, or an `InvalidConfiguration` with the location of each wrong
+field. Fields that this version doesn't know are kept as sent. An item in a change replaces the whole item of that name.
 """
 
 from __future__ import annotations
@@ -17,31 +17,31 @@
 from pipitledge.configuration.model import Configuration, Limits, Route, Service
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
-MAX_VERSION = 2**63 - 1  # records carry it in 64 bits
+MAX_VERSION = 2**63 - 1  # stored records hold versions as signed 64-bit numbers
 MAX_PROBLEMS = 20  # listed in one answer
-WHOLE_DOCUMENT = "(whole)"  # place of a problem that no single field has
+WHOLE_DOCUMENT = "(whole)"  # location of a problem that belongs to no single field
 
 JsonObject = dict[str, Any]
 
 
 class Problem(Struct, frozen=True):
-    """One thing wrong with a configuration: `routes[1].timeoutMs` must be above 0, say."""
+    """One error in a configuration, such as `routes[1].timeoutMs: must be above 0`."""
 
     location: str
     reason: str
 
     def __str__(self) -> str:
-        """The problem as one line."""
+        """Return the problem as one line of text."""
         return f"{self.location}: {self.reason}"
 
 
 class InvalidConfiguration(Struct, frozen=True):
-    """Why a configuration is refused."""
+    """The reasons why a configuration is refused."""
 
     problems: tuple[Problem, ...]
 
     def __str__(self) -> str:
-        """All problems on one line, or the first of them if there are many."""
+        """Return the first `MAX_PROBLEMS` problems on one line, and the number of the others."""
         listed = "; ".join(str(problem) for problem in self.problems[:MAX_PROBLEMS])
         more = len(self.problems) - MAX_PROBLEMS
         return f"{listed}; and {more} more" if more > 0 else listed
@@ -50,13 +50,13 @@
 class ParsedConfiguration(Struct, frozen=True):
     """A configuration that passed all checks."""
 
-    raw: JsonObject  # as the operators sent it, changes merged in
+    raw: JsonObject  # as the operators sent it, with later changes merged in
     body: bytes  # `raw` as JSON
     configuration: Configuration
 
     @property
     def version(self) -> int:
-        """The version that it brings."""
+        """The version number that the operator gave it."""
         return self.configuration.version
 
 
@@ -64,7 +64,7 @@
 
 
 def check_full_configuration(body: bytes, current_version: int) -> Checked:
-    """Check a whole configuration (PUT) that would follow `current_version`."""
+    """Check a full configuration (PUT) that would replace `current_version`."""
     document = _read(body)
     if isinstance(document, InvalidConfiguration):
         return document
@@ -72,10 +72,10 @@
 
 
 def check_change(body: bytes, current: ParsedConfiguration | None) -> Checked:
-    """Check a change (PATCH): merge it onto `current` and check the outcome as a whole.
+    """Check a change (PATCH): merge it into `current` and check the result as a full configuration.
 
-    `remove` is applied before `upsert`; removing a name that isn't there changes nothing. Fields of the change beside
-    those two, `limits` among them, replace the field of that name.
+    `remove` is applied before `upsert`; removing an unknown name changes nothing. Any other field of the change, such
+    as `limits`, replaces the field of that name.
     """
     sent = _read(body)
     if isinstance(sent, InvalidConfiguration):
@@ -89,36 +89,36 @@
 
 
 def parse_accepted(body: bytes) -> ParsedConfiguration:
-    """Read a configuration that was checked when it was taken; raises `ValueError` if it can't be one.
+    """Parse a configuration that was checked when it was accepted; raise `ValueError` if it can't be parsed.
 
-    It is not checked again: with thousands of routes that would hold a node's logic up for a tenth of a second.
+    It is not checked again: with thousands of routes, a check would hold the node's lock for a tenth of a second.
     """
     return _accepted(_read(body), body)
 
 
 def merge_accepted(body: bytes, current: ParsedConfiguration) -> ParsedConfiguration:
-    """Merge a change that was checked when it was taken onto what it was made for; raises `ValueError` as above."""
+    """Merge a change that was checked when it was accepted into its base version; raise `ValueError` as above."""
     change = _read(body)
     if isinstance(change, InvalidConfiguration):
-        raise ValueError(f"a change that was taken cannot be read: {change}")
+        raise ValueError(f"an accepted change cannot be read: {change}")
     merged = _merge(_without_null(change), current.raw)
     return _accepted(merged, msgspec.json.encode(merged))
 
 
 def _accepted(document: JsonObject | InvalidConfiguration, body: bytes) -> ParsedConfiguration:
     if isinstance(document, InvalidConfiguration):
-        raise ValueError(f"a configuration that was taken cannot be read: {document}")
+        raise ValueError(f"an accepted configuration cannot be read: {document}")
     try:
         return ParsedConfiguration(document, body, _typed(document))
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"a configuration that was taken cannot be read: {error!r}") from error
+        raise ValueError(f"an accepted configuration cannot be read: {error!r}") from error
 
 
-VERSION_DIGITS = 19  # a 64-bit number has no more
+VERSION_DIGITS = 19  # maximum number of decimal digits of a signed 64-bit number
 
 
 def read_version(text: str) -> int | None:
-    """The version that `If-Match` names, 0 if it is empty, None if it is none."""
+    """Return the version in an `If-Match` header: 0 if it is empty, None if it is not a version."""
     bare = text.strip().removeprefix("W/").strip('"')
     if not bare:
         return 0
@@ -126,7 +126,7 @@
     return int(bare) if plain else None
 
 
-# ---- one field
+# ---- checks of single fields
 
 
 def _integer(value: object) -> object:
@@ -144,11 +144,11 @@
 
 
 def _string(value: object) -> object:
-    return value if type(value) is str else t.DataError("must be a text")
+    return value if type(value) is str else t.DataError("must be a string")
 
 
 def _non_empty_string(value: object) -> object:
-    return value if type(value) is str and value else t.DataError("must be a text that is not empty")
+    return value if type(value) is str and value else t.DataError("must be a string that is not empty")
 
 
 def _path(value: object) -> object:
@@ -171,7 +171,7 @@
     return t.Key(name, optional=True)
 
 
-# ---- the documents
+# ---- document schemas
 
 _VERSION = t.Call(_integer) & _positive & _fits_version
 _COUNT = t.Call(_integer) & _non_negative
@@ -223,13 +223,13 @@
 
 
 def _distinct_items(items: list[JsonObject]) -> object:
-    """Refuse a list of items to upsert of which two share a name: one would hide the other."""
+    """Refuse a list of items to upsert in which a name is repeated: one item would silently replace the other."""
     repeated = _repeated_names(items)
     return t.DataError(dict.fromkeys(repeated, _USED_TWICE)) if repeated else items
 
 
 def _by_collection(rule: t.Trafaret) -> Callable[[object], object]:
-    """A check of an object that has, by the name of a collection, what `rule` checks."""
+    """Return a check of an object whose keys are collection names and whose values must pass `rule`."""
 
     def check(value: object) -> object:
         if not isinstance(value, dict):
@@ -246,10 +246,10 @@
 
 
 def _only_in_full_configuration(_: object) -> object:
-    return t.DataError("belongs into a whole configuration; a change has upsert and remove")
+    return t.DataError("belongs in a full configuration; a change has upsert and remove")
 
 
-_CHANGE_FIELDS = ("upsert", "remove")  # what a change says of named items
+_CHANGE_FIELDS = ("upsert", "remove")  # fields of a change that name items
 _ITEM = t.Dict({t.Key("name"): _non_empty_string}).allow_extra("*")
 _CHANGE = t.Dict(
     {
@@ -262,7 +262,7 @@
 ).allow_extra("*")
 
 
-# ---- reading, merging and checking as a whole
+# ---- reading, merging and consistency checks
 
 
 def _read(body: bytes) -> JsonObject | InvalidConfiguration:
@@ -276,12 +276,12 @@
 
 
 def _without_null(change: JsonObject) -> JsonObject:
-    """The change less those of its lists that are null, as some encoders write an empty list."""
-    listed = {name: value for name, value in change.items() if name not in _CHANGE_FIELDS or value is not None}
+    """Return the change without lists that are null, which is how some encoders write an empty list."""
+    cleaned = {name: value for name, value in change.items() if name not in _CHANGE_FIELDS or value is not None}
     for part in _CHANGE_FIELDS:
-        if isinstance(listed.get(part), dict):
-            listed[part] = {name: items for name, items in listed[part].items() if items is not None}
-    return listed
+        if isinstance(cleaned.get(part), dict):
+            cleaned[part] = {name: items for name, items in cleaned[part].items() if items is not None}
+    return cleaned
 
 
 def _merge(change: JsonObject, current: JsonObject) -> JsonObject:
@@ -294,7 +294,7 @@
 
 
 def _items(document: JsonObject, collection: str) -> list[JsonObject]:
-    """The named items under `collection`; none if there is something else."""
+    """Return the items of `collection`; none if it is missing or not a list."""
     found = document.get(collection)
     return [item for item in found if isinstance(item, dict)] if isinstance(found, list) else []
 
@@ -304,7 +304,7 @@
 
 
 def _upserted_into(items: list[JsonObject], upserted: list[JsonObject]) -> list[JsonObject]:
-    """`items` with those replaced in place that `upserted` names, and the others of it at the end."""
+    """Return `items` with items of the same name replaced in place by those of `upserted`, and new ones appended."""
     by_name = {item["name"]: item for item in upserted}
     replaced = [by_name.pop(item.get("name"), item) for item in items]
     return replaced + list(by_name.values())
@@ -318,7 +318,7 @@
 
 
 def _consistency_problems(document: JsonObject, current_version: int) -> Iterator[Problem]:
-    """What only shows when fields that are each well are looked at together."""
+    """Find errors between fields that are each valid on their own."""
     if document["version"] <= current_version:
         yield Problem("version", f"must be above the current one, {current_version}")
     for collection in ("routes", "services"):
@@ -338,14 +338,14 @@
 def _shared_prefixes(routes: list[JsonObject]) -> Iterator[Problem]:
     first_by_prefix: dict[tuple[str, str], str] = {}
     for index, route in enumerate(routes):
-        location = route["host"].lower(), route["pathPrefix"]
-        first = first_by_prefix.setdefault(location, route["name"])
+        host_and_prefix = route["host"].lower(), route["pathPrefix"]
+        first = first_by_prefix.setdefault(host_and_prefix, route["name"])
         if first != route["name"]:
             yield Problem(f"routes[{index}].pathPrefix", f"host and prefix are those of route {first!r}")
 
 
 def _repeated_names(items: Iterable[JsonObject]) -> list[int]:
-    """Where in `items` a name comes that came before."""
+    """Return the indices of items whose name occurs earlier in the list."""
     seen = set[str]()
     repeated = list[int]()
     for index, item in enumerate(items):
@@ -367,7 +367,7 @@
 
 
 def _flatten(error: object, location: str) -> Iterator[Problem]:
-    """The leaves of trafaret's tree of errors, each with its place."""
+    """Turn trafaret's tree of errors into a list of problems with their locations."""
     if not isinstance(error, dict):
         yield Problem(location or WHOLE_DOCUMENT, str(error))
         return
@@ -376,7 +376,7 @@
         yield from _flatten(inner, joined)
 
 
-# ---- from JSON to types
+# ---- conversion from JSON to typed objects
 
 
 def _typed(document: JsonObject) -> Configuration:
--- a/pipitledge/configuration/configuration_service.py
+++ b/pipitledge/configuration/configuration_service.py
@@ -1,8 +1,8 @@
-"""The configuration keeper: the primary's service that takes, keeps and hands out the configuration.
+"""The primary's configuration service: accepts, stores and hands out the configuration.
 
-Writes are pipelined: an order builds on the change written last, committed or not. No answer that rests on a write
-leaves before that write is committed, and a refusal leaves only while this node surely is the primary, as another one
-may have known_change the very order that is refused here.
+Writes are pipelined: a change request builds on the change written last, committed or not. An answer that depends on a
+write is sent only after that write is committed. A refusal is sent only while this node holds the primary's lease,
+because another primary may have accepted the same request.
 """
 
 from __future__ import annotations
@@ -43,8 +43,10 @@
 
 CONFIGURATION_KEY = "config"
 CHANGE_PREFIX = "change/"
-ORDER_DIGITS = 12  # of a change's key, so that keys sort by order
-CHANGES_KEPT = 2_000  # orders that can be acknowledged again; an operator repeats one for seconds, not for days
+ORDER_DIGITS = 12  # in the key of a change record, so that the keys sort by order
+CHANGES_KEPT = (
+    2_000  # accepted changes whose repetition is recognised; operators retry a request for seconds, not for days
+)
 DIGEST_BYTES = 16
 
 OK, BAD_REQUEST, NOT_FOUND, METHOD_NOT_ALLOWED = 200, 400, 404, 405
@@ -54,38 +56,40 @@
 
 
 class _Accepted(Struct):
-    """The answer to an order that was known_change."""
+    """JSON body of the answer to an accepted change."""
 
     version: int
 
 
 class _Refusal(Struct):
-    """The answer to an order that was not."""
+    """JSON body of the answer to a refused request."""
 
     error: str
 
 
 @dataclass
 class _TermState:
-    """What the keeper knows while its node is primary."""
+    """The state of the service during one term of its node as primary."""
 
-    written: ParsedConfiguration | None = None  # by the last write, committed or not
+    written: ParsedConfiguration | None = None  # the configuration of the last write, committed or not
     committed: ParsedConfiguration | None = None
-    transfers: TransferSource = field(default_factory=lambda: TransferSource(CONFIGURATION_ORIGIN))  # the committed
-    changes: OrderedDict[str, ChangeRecord] = field(default_factory=OrderedDict)  # by digest, in their order
+    transfers: TransferSource = field(default_factory=lambda: TransferSource(CONFIGURATION_ORIGIN))  # of `committed`
+    changes: OrderedDict[str, ChangeRecord] = field(
+        default_factory=OrderedDict
+    )  # recently accepted changes by digest, oldest first
     next_order: int = 1
 
     @property
     def version(self) -> int:
-        """The version on which the next order has to build."""
+        """The version that the next change request has to name in If-Match; 0 if there is no configuration."""
         return self.written.version if self.written else 0
 
 
 class ConfigurationService:
-    """Takes the operators' orders and answers pulls, while its node is primary."""
+    """Handles operators' calls and answers pulls while its node is primary."""
 
     def __init__(self, replicator: Replicator, log: EventLog, usage: UsageSource | None = None) -> None:
-        """Keep the configuration in `replicator`; `usage` gives what the scheduler publishes, if anything."""
+        """Store the configuration in `replicator`; `usage` returns the scheduler's queue usage, see `publish_usage`."""
         self._replicator = replicator
         self._log = log
         self._usage = usage
@@ -93,27 +97,27 @@
         self._term_state: _TermState | None = None
 
     def register(self, handlers: Handlers) -> None:
-        """Answer operators' calls and pulls."""
+        """Register the handlers of operators' calls and pulls."""
         handlers.on_call(OperatorCall, self.operator_call)
         handlers.on_call(PullRequest, self.pull)
 
     def on_change(self, listener: Listener) -> None:
-        """Call `listener` with each configuration once it is committed, and with the one found on activation."""
+        """Call `listener` with each configuration once it is committed, and with the stored one on activation."""
         self._listeners.append(listener)
 
     def publish_usage(self, usage: UsageSource) -> None:
-        """Hand out what `usage` gives; it is asked at each pull, and should be cheap while nothing has changed."""
+        """Hand out the usage that `usage` returns; it is called at each pull, so it should be cheap if unchanged."""
         self._usage = usage
 
     def current(self) -> Configuration | None:
-        """The configuration in force: the last one committed; None if there is none, or this node isn't primary."""
+        """Return the last committed configuration; None if there is none or this node isn't primary."""
         committed = self._term_state.committed if self._term_state else None
         return committed.configuration if committed else None
 
     # ---- PrimaryService
 
     def activated(self, term: int, state: Mapping[str, bytes]) -> None:
-        """Take over what replicated state holds."""
+        """Load the configuration and the accepted changes from the replicated state at the start of a term."""
         term_state = self._term_state = _TermState()
         records = [decode_record(value, ChangeRecord) for key, value in state.items() if key.startswith(CHANGE_PREFIX)]
         for record in sorted(records, key=lambda record: record.order):
@@ -128,13 +132,13 @@
         self._log.info("configuration_taken_over", term=term, version=term_state.version, changes=len(records))
 
     def deactivated(self) -> None:
-        """Forget everything; orders that wait for a commit get no answer from here."""
+        """Drop all state at the end of a term; requests that wait for a commit get no answer from this node."""
         self._term_state = None
 
     # ---- operators' calls
 
     def operator_call(self, call: OperatorCall, reply: Reply) -> None:
-        """Carry out one call of an operator."""
+        """Handle one call of an operator."""
         term_state = self._active_term()
         if term_state is None:
             reply(NotPrimary(self._replicator.view))
@@ -166,7 +170,7 @@
         self._write_change(term_state, call, digest, outcome, reply)
 
     def _validate(self, term_state: _TermState, call: OperatorCall) -> ParsedConfiguration | OperatorReply:
-        """The configuration that the call would bring about, or why it doesn't."""
+        """Return the configuration that results from the call, or the refusal."""
         if len(call.body) > checks.MAX_BODY_BYTES:
             return _refusal(TOO_LARGE, f"the body is above {checks.MAX_BODY_BYTES} bytes")
         base_version = checks.read_version(call.if_match)
@@ -185,7 +189,7 @@
     def _write_change(
         self, term_state: _TermState, call: OperatorCall, digest: str, parsed: ParsedConfiguration, reply: Reply
     ) -> None:
-        """Write the change; once that is committed, it is in force and acknowledged."""
+        """Write the change; once the write is committed, the change is in force and is acknowledged."""
         change = ChangeRecord(parsed.version, digest, term_state.next_order)
         writes = [
             Write(CONFIGURATION_KEY, encode_record(ConfigurationRecord(parsed.version, parsed.body))),
@@ -213,7 +217,7 @@
         self._replicator.write(writes, committed)
 
     def _reply_after_commit(self, term_state: _TermState, reply: Reply, answer: OperatorReply) -> None:
-        """Give an answer that rests on all that was written so far, and on being primary still."""
+        """Send an answer once all earlier writes are committed, or `NotPrimary` if this node's term is over by then."""
 
         def send() -> None:
             primary = self._active_term() is term_state
@@ -224,7 +228,7 @@
     # ---- pulls
 
     def pull(self, request: PullRequest, reply: Reply) -> None:
-        """Hand out what the node lacks; only what is committed."""
+        """Answer a pull with the committed data that the node lacks."""
         term_state = self._active_term()
         if term_state is None:
             reply(NotPrimary(self._replicator.view))
@@ -247,7 +251,7 @@
     # ---- common
 
     def _active_term(self) -> _TermState | None:
-        """What is known, if this node surely is the primary now."""
+        """Return the state of the current term if this node is the primary and holds its lease; otherwise None."""
         return self._term_state if self._replicator.is_primary() else None
 
     def _notify_listeners(self, parsed: ParsedConfiguration) -> None:
@@ -268,7 +272,7 @@
 
 
 def _digest(call: OperatorCall) -> str:
-    """Names an order by all that it says; a repeat says the same."""
+    """Return the digest of all parts of a change request, by which a repeated request is recognised."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (call.method.encode(), call.if_match.strip().encode(), call.body):
         digest.update(len(part).to_bytes(8, "big"))
--- a/pipitledge/configuration/data_plane.py
+++ b/pipitledge/configuration/data_plane.py
@@ -1,7 +1,7 @@
-"""What a data plane node knows of the configuration and of the queues' usage: pulled from the primary, never older.
+"""The configuration and the queue usage on a data plane node, pulled from the primary; versions never go back.
 
-A node tells its version vector with each pull, so an answer that brings nothing new is a small message. Nothing is kept
-on disk: a process that starts pulls all of it.
+A node sends its version vector with each pull, so the answer is a small message if nothing is new. Nothing is stored on
+disk: a process that starts pulls everything.
 """
 
 from __future__ import annotations
@@ -30,23 +30,23 @@
 from pipitledge.runtime.settings import Bounds
 from pipitledge.wire.messages import DatasetVersion, PartialTransfer, PullReply, PullRequest, Update
 
-PULL_INTERVAL_SECONDS = 0.4  # between pulls, unless a configuration has to be applied sooner than three of them take
-PULLS_PER_APPLY = 3.0  # so that two pulls may be refused in a row; one that gets no answer takes longer
-JITTER = 0.2  # of the interval, either way: nodes that started together shouldn't call together
-RETRY_INTERVAL_SHARE = 0.25  # of the usual interval, after a pull that failed
+PULL_INTERVAL_SECONDS = 0.4  # between pulls; shorter if `PULLS_PER_APPLY` pulls don't fit into config_apply_ms
+PULLS_PER_APPLY = 3.0  # two pulls in a row may be refused; a pull without an answer takes longer than the interval
+JITTER = 0.2  # +/- share of the interval, so that nodes that started together don't pull at the same time
+RETRY_INTERVAL_SHARE = 0.25  # of the usual interval, before the retry of a failed pull
 MIN_INTERVAL_SECONDS = 0.05
-PULL_TIMEOUT_SHARE = 0.4  # of the time to apply a configuration, for one pull
+PULL_TIMEOUT_SHARE = 0.4  # of config_apply_ms: the timeout of one pull
 MAX_PULL_TIMEOUT_SECONDS = 1.0
-FAILURES_BEFORE_WARNING = 4  # in a row, before the log tells of them
+FAILURES_BEFORE_WARNING = 4  # failed pulls in a row before the first warning in the log
 
 Listener = Callable[[Configuration], None]
 
 
 class DataPlane:
-    """Pulls datasets, and keeps the newest of each."""
+    """Pulls datasets from the primary and keeps the newest version of each."""
 
     def __init__(self, clock: Clock, primary_caller: CallsPrimary, my_name: str, log: EventLog, bounds: Bounds) -> None:
-        """Pull for the node `my_name`, as often as `bounds` ask for."""
+        """Create the puller of the node `my_name`; `bounds.config_apply_ms` sets the interval and timeout of pulls."""
         apply_seconds = bounds.config_apply_ms / 1000.0
         self._clock = clock
         self._primary_caller = primary_caller
@@ -60,7 +60,7 @@
         self._running = False
         self._parsed: ParsedConfiguration | None = None
         self._assembly = TransferAssembly()
-        self._failures = 0  # pulls without an answer, one after the other
+        self._failures = 0  # pulls without an answer in a row
         self._usage: QueueUsageReport | None = None
         self._usage_term = 0
         self._usage_version = -1
@@ -74,30 +74,30 @@
 
     @property
     def failures(self) -> int:
-        """How many pulls in a row have had no answer up to now."""
+        """Number of pulls without an answer since the last answered one."""
         return self._failures
 
     @property
     def partial(self) -> PartialTransfer | None:
-        """What is current of a newer configuration that has not come whole yet."""
+        """The part received so far of a newer configuration; None if no transfer is in progress."""
         return self._assembly.partial
 
     @property
     def usage(self) -> QueueUsageReport | None:
-        """The queues' usage as last pulled; None before the first."""
+        """The queue usage as last pulled; None before the first."""
         return self._usage
 
     @property
     def usage_revision(self) -> tuple[int, int]:
-        """The term and the version of `usage`: another mark is another count."""
+        """The term and version of `usage`; it changes whenever newer usage is pulled."""
         return self._usage_term, self._usage_version
 
     def age_s(self) -> float:
-        """Seconds since a pull that the primary answered was sent: all that is known is that old at most."""
+        """Return the seconds since the last answered pull was sent: the maximum age of the data."""
         return self._clock.now() - self._last_contact_at
 
     def usage_age_s(self) -> float:
-        """Seconds since the pull was sent that last told or confirmed `usage`."""
+        """Return the seconds since the pull was sent that last updated or confirmed `usage`."""
         return self._clock.now() - self._usage_at
 
     def on_change(self, listener: Listener) -> None:
@@ -105,12 +105,12 @@
         self._listeners.append(listener)
 
     def start(self) -> None:
-        """Pull now, and from then on."""
+        """Pull now, and then periodically."""
         self._running = True
         self._pull()
 
     def stop(self) -> None:
-        """Pull no more; what is known stays."""
+        """Stop pulling; the data pulled so far stays available."""
         self._running = False
         if self._timer is not None:
             self._timer.cancel()
@@ -135,7 +135,7 @@
                 self._apply_reply(sent_at, reply)
             else:
                 self._record_failure(sent_at)
-        finally:  # whatever is wrong with an answer: a node that pulled no more would keep what it has for good
+        finally:  # also after a bad answer: a node that stopped pulling would keep outdated data
             if self._running:
                 self._pull_after(self._next_interval(answered=isinstance(reply, PullReply)))
 
@@ -148,14 +148,14 @@
             self._usage_at = sent_at
 
     def _next_interval(self, answered: bool) -> float:
-        """Seconds until the next pull; none while a newer configuration is on its way in pieces."""
+        """Return the seconds until the next pull; 0 while a newer configuration is being received in pieces."""
         if answered and self._assembly.partial is not None:
             return 0.0
         interval = self._interval if answered else self._interval * RETRY_INTERVAL_SHARE
         return interval * self._random.uniform(1.0 - JITTER, 1.0 + JITTER)
 
     def _record_failure(self, sent_at: float) -> None:
-        """Tell of pulls that have no answer, at each doubling of their number."""
+        """Count a pull without an answer; log a warning each time that their number has doubled."""
         self._failures += 1
         if self._failures >= FAILURES_BEFORE_WARNING and self._failures.bit_count() == 1:
             partial = self._assembly.partial
--- a/pipitledge/configuration/primary.py
+++ b/pipitledge/configuration/primary.py
@@ -1,4 +1,4 @@
-"""How a plane reaches the primary, whichever process that is just now."""
+"""The interface through which other modules call the primary."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CallsPrimary(Protocol):
-    """What planes need of `membership.primary_caller.PrimaryCaller`."""
+    """The part of `membership.primary_caller.PrimaryCaller` that ingress and the data plane use."""
 
     def call(self, request: Struct, timeout_s: float, on_done: OutcomeHandler) -> None:
-        """Have the primary answer `request`; `on_done` is called once, within `patience_s` seconds."""
+        """Send `request` to the current primary; `on_done` is called once, within `timeout_s` seconds."""
--- a/pipitledge/configuration/transfer.py
+++ b/pipitledge/configuration/transfer.py
@@ -1,8 +1,8 @@
-"""How the configuration travels to data plane nodes: changes where a node has what they build on, and all in pieces.
+"""Transfer of the configuration to data plane nodes: as changes where a node has their base version, and in pieces.
 
-A pull has to be answered within a fixed time whatever the link, so no answer may grow with the configuration. What is
-to be handed over is compressed, and cut into pieces that a thin link carries well within a pull; a node that holds a
-part asks for the rest of it, and never begins anew as long as the primary still has that very transfer.
+A pull must be answered within a fixed time on any link, so an answer must not grow with the configuration. The data is
+compressed and cut into pieces that a slow link carries well within the timeout of a pull. A node that has received some
+pieces asks for the rest; it doesn't have to restart as long as the primary still keeps the same transfer.
 """
 
 from __future__ import annotations
@@ -16,29 +16,29 @@
 
 from pipitledge.wire.messages import PartialTransfer, Update
 
-PIECE_BYTES = 24 * 1024  # of one answer; a link of 1 Mbit/s carries it in 0.2 s, where a pull waits for 0.8 s
-CHANGES_KEPT = 64  # the last ones, for nodes that lack only these
-FULL_VERSIONS_KEPT = 3  # versions of which a node may still fetch the rest
-MAX_DATASET_BYTES = 64 * 1024 * 1024  # bytes, unpacked; more is no configuration
+PIECE_BYTES = 24 * 1024  # per answer; a link of 1 Mbit/s carries it in 0.2 s, and a pull times out after 0.8 s
+CHANGES_KEPT = 64  # most recent changes, for nodes that lack only these
+FULL_VERSIONS_KEPT = 3  # full versions whose transfer a node can still complete
+MAX_DATASET_BYTES = 64 * 1024 * 1024  # uncompressed; a larger dataset is refused
 COMPRESSION_LEVEL = 6
 DIGEST_BYTES = 8
 
 
 class TransferError(ValueError):
-    """What came does not unpack to what was announced."""
+    """Received data is not what was announced or can't be decompressed."""
 
 
 class Transfer(Struct, frozen=True):
-    """One version of a dataset on its way, packed: full, or as a change on top of an earlier version."""
+    """One compressed version of a dataset: in full, or as a change to an earlier version."""
 
     origin: str
-    base: int  # the version that it changes; 0: it is full
+    base: int  # the version that the change applies to; 0: a full version
     version: int
     digest: int  # of `data`
     data: bytes
 
     def piece(self, offset: int, size: int) -> Update:
-        """The part from `offset` on, of at most `size` bytes."""
+        """Return the piece of at most `size` bytes that starts at `offset`."""
         return Update(
             origin=self.origin,
             version=self.version,
@@ -50,35 +50,35 @@
         )
 
     def resume_offset(self, partial: PartialTransfer | None) -> int:
-        """From where on a node that holds `partial` still needs it."""
+        """Return the offset at which a node that holds `partial` continues; 0 if that is of another transfer."""
         return partial.offset if partial is not None and self.matches(partial) else 0
 
     def matches(self, partial: PartialTransfer) -> bool:
-        """Whether `partial` is a part of this very transfer."""
+        """Return whether `partial` is an incomplete copy of this transfer."""
         held = (partial.origin, partial.base, partial.version, partial.digest)
         same = held == (self.origin, self.base, self.version, self.digest)
         return same and 0 <= partial.offset < len(self.data)
 
 
 def pack(origin: str, base: int, version: int, payload: bytes) -> Transfer:
-    """Compress a payload for its way."""
+    """Return the transfer of a payload, compressed."""
     data = zlib.compress(payload, COMPRESSION_LEVEL)
     return Transfer(origin, base, version, _digest(data), data)
 
 
 class TransferSource:
-    """The primary's side: the newest version of one dataset, and the changes that led there."""
+    """The sending side, on the primary: the newest version of one dataset, and the changes that led to it."""
 
     def __init__(self, origin: str) -> None:
-        """Nothing is there to hand out."""
+        """Create a source without any version yet."""
         self._origin = origin
         self._version = 0
-        self._full_transfers: OrderedDict[int, Transfer] = OrderedDict()  # by version, packed when first asked for
+        self._full_transfers: OrderedDict[int, Transfer] = OrderedDict()  # by version, compressed on first use
         self._payload = b""
         self._changes: deque[Transfer] = deque(maxlen=CHANGES_KEPT)
 
     def publish(self, version: int, payload: bytes, change: bytes | None = None) -> None:
-        """`version` is in force, `payload` full; `change` leads there from the version before, if one does."""
+        """Offer a new version: `payload` is the full dataset, `change` the difference to the version before, if any."""
         if change is None or not self._version:
             self._changes.clear()
         else:
@@ -87,7 +87,7 @@
         self._payload = payload
 
     def updates(self, held: int, partial: PartialTransfer | None) -> list[Update]:
-        """The next pieces for a node that holds version `held` and maybe a part of a newer one."""
+        """Return the next pieces for a node that holds version `held` and perhaps a part of a newer one."""
         updates = list[Update]()
         remaining_bytes = PIECE_BYTES
         for transfer in self._transfers_for(held, partial):
@@ -99,7 +99,7 @@
         return updates
 
     def _transfers_for(self, held: int, partial: PartialTransfer | None) -> Sequence[Transfer]:
-        """What brings a node from version `held` to the newest one, in order."""
+        """Return the transfers, in order, that bring a node from version `held` to the newest or a resumed one."""
         if held >= self._version:
             return []
         resumed = self._resumable(held, partial)
@@ -112,14 +112,17 @@
         return [full]
 
     def _resumable(self, held: int, partial: PartialTransfer | None) -> Transfer | None:
-        """The full version that the node holds a part of, if it is still here: newer ones must not keep it from it."""
+        """Return the full version that the node has a part of, if it is still kept.
+
+        It goes before newer versions: otherwise frequent changes could keep a node from ever completing a transfer.
+        """
         if partial is None or partial.base or partial.version <= held:
             return None
         full = self._full_transfers.get(partial.version)
         return full if full is not None and full.matches(partial) else None
 
     def _changes_after(self, held: int) -> list[Transfer]:
-        """All changes since version `held`; none if they don't reach back to it."""
+        """Return all changes since version `held`; none if they don't reach back that far."""
         bases = [change.base for change in self._changes]
         return list(self._changes)[bases.index(held) :] if held in bases else []
 
@@ -133,7 +136,7 @@
 
 
 class CompletedTransfer(Struct, frozen=True):
-    """A transfer that has come full, unpacked."""
+    """A completely received transfer, decompressed."""
 
     base: int
     version: int
@@ -141,29 +144,29 @@
 
 
 class TransferAssembly:
-    """A data plane node's side: the pieces of one transfer so far."""
+    """The receiving side, on a data plane node: the pieces of one transfer received so far."""
 
     def __init__(self) -> None:
-        """Nothing has come yet."""
+        """Create an assembly without any pieces yet."""
         self._first: Update | None = None
         self._data = bytearray()
 
     @property
     def partial(self) -> PartialTransfer | None:
-        """What is held of a transfer that is not complete."""
+        """The transfer in progress and the bytes received of it; None if there is none."""
         first = self._first
         if first is None:
             return None
         return PartialTransfer(first.origin, first.base, first.version, first.digest, len(self._data))
 
     def add(self, update: Update) -> CompletedTransfer | None:
-        """Add a piece; the transfer if it is complete now. Raises `TransferError` if it can't be unpacked."""
+        """Add a piece; return the transfer if it is complete now. Raise `TransferError` if its data is corrupt."""
         if update.offset == 0:
             self._first = update
             self._data.clear()
         first = self._first
         if first is None or not _same_transfer(first, update) or update.offset != len(self._data):
-            return None  # a piece that came twice, or of a transfer that was given up
+            return None  # a duplicate piece, or a piece of an abandoned transfer
         self._data += update.payload
         if len(self._data) < update.total:
             return None
@@ -172,7 +175,7 @@
         return CompletedTransfer(update.base, update.version, _unpack(data, update))
 
     def reset(self) -> None:
-        """Forget what is held."""
+        """Discard the pieces received so far."""
         self._first = None
         self._data.clear()
 
@@ -183,14 +186,14 @@
 
 def _unpack(data: bytes, update: Update) -> bytes:
     if len(data) != update.total or _digest(data) != update.digest:
-        raise TransferError(f"version {update.version}: the pieces are not those that were announced")
+        raise TransferError(f"version {update.version}: the pieces do not match the announced length and digest")
     unpacker = zlib.decompressobj()
     try:
         payload = unpacker.decompress(data, MAX_DATASET_BYTES)
     except zlib.error as error:
         raise TransferError(f"version {update.version}: {error}") from error
     if not unpacker.eof:
-        raise TransferError(f"version {update.version}: cut short, or above {MAX_DATASET_BYTES} bytes")
+        raise TransferError(f"version {update.version}: truncated, or longer than {MAX_DATASET_BYTES} bytes")
     return payload
 
 
--- a/pipitledge/ingress/__init__.py
+++ b/pipitledge/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""Clients' calls and readiness."""
+"""HTTP calls of clients and operators at a node, and the node's readiness."""
--- a/pipitledge/ingress/control_plane_api.py
+++ b/pipitledge/ingress/control_plane_api.py
@@ -1,4 +1,4 @@
-"""Calls to a node's `controlPlane` address: the operator's are handed to the primary, others are turned away."""
+"""Calls to a node's `controlPlane` address: operators' calls are forwarded to the primary, others are refused."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from pipitledge.wire.paths import CONFIGURATION_PATH, INSTANCES_PREFIX
 
 METHODS = ("GET", "PUT", "PATCH")
-# Callers move on after a second of silence, later where they sent much; an answer that comes before that is heard.
+# Callers give up after one second without an answer (later if they sent a long body); the answer has to come earlier.
 OPERATOR_CALL_TIMEOUT_SECONDS = 0.85
-MAX_CALLS_IN_PROGRESS = 32  # in progress at once; operators have eight at most
+MAX_CALLS_IN_PROGRESS = 32  # operators have at most eight calls in progress
 
-Respond = Callable[[int, bytes, str], None]  # status, body, where to call instead ("": nowhere)
+Respond = Callable[[int, bytes, str], None]  # status, body, Location of a redirect ("": no redirect)
 
 
 class ControlPlaneApi:
-    """Takes the operator's calls at this node.
+    """Handles operators' calls at this node.
 
-    A status of 4xx ends an order for its sender, so it is given only by the primary or where the call itself is wrong
-    whoever looks at it; all else is 503 or 504, upon which the order is sent again.
+    A 4xx status makes the sender give up its request, so it is sent only by the primary, or if the call is invalid on
+    any node. All other failures are 503 or 504, after which the sender retries.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         log: EventLog,
         large_answer_redirects: LargeAnswerRedirects | None = None,
     ) -> None:
-        """Hand calls to `primary_caller`; `large_answers` tells which answers callers are sent to the primary for."""
+        """Forward calls to `primary_caller`; `large_answer_redirects` decides which reads are redirected to it."""
         self._clock = clock
         self._large_answer_redirects = large_answer_redirects
         self._primary_caller = primary_caller
@@ -45,7 +45,7 @@
         self._in_progress = 0
 
     def call(self, method: str, path: str, if_match: str, body: bytes, respond: Respond) -> None:
-        """Answer any call to the address."""
+        """Answer any call to the `controlPlane` address."""
         path_only = path.partition("?")[0]
         if path_only == CONFIGURATION_PATH:
             self.operator_call(method, if_match, body, respond)
@@ -55,7 +55,7 @@
             _send(respond, error_answer(HTTPStatus.NOT_FOUND, f"nothing is at {path_only}"))
 
     def operator_call(self, method: str, if_match: str, body: bytes, respond: Respond) -> None:
-        """Answer one call of an operator by `respond`, now or later."""
+        """Answer one call of an operator through `respond`, immediately or later."""
         refusal = self._early_refusal(method, body)
         if refusal is not None:
             _send(respond, refusal)
@@ -97,9 +97,9 @@
         _send(respond, answer)
 
     def _redirect_if_large(self, request: OperatorCall, answer: Answer) -> Answer:
-        """The answer, or where to get it if it would take too long on this machine's link.
+        """Return the answer, or a redirect to the primary if this machine's link would take too long to send it.
 
-        Only a read is redirected: an order has been carried out by then, and its answers are short.
+        Only reads are redirected: a change request has been executed by then, and its answer is short.
         """
         if self._large_answer_redirects is None or request.method != "GET":
             return answer
--- a/pipitledge/ingress/ingress.py
+++ b/pipitledge/ingress/ingress.py
@@ -1,4 +1,4 @@
-"""Clients' calls: each is handed to the primary, within a bound, and answered by how that ended."""
+"""Clients' calls: each is forwarded to the primary with a timeout, and answered according to the outcome."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 from pipitledge.runtime.logs import EventLog
 from pipitledge.wire.messages import CallKind, ClientCall
 
-MAX_CALLS_IN_PROGRESS = 200  # in progress at once; more would wait longer than their clients
-DEFAULT_DEADLINE_MS = 3_000.0  # of a client that names none
+MAX_CALLS_IN_PROGRESS = 200  # with more, calls would wait longer than their clients do
+DEFAULT_DEADLINE_MS = 3_000.0  # for clients that send no X-Deadline-Ms header
 
-# A fail-over takes about 1.2 s, so a call of that timeout outlasts one. It may take little more than a third of the
-# client's time: a call given up on is answered at once, and its client has time for two more tries at other nodes.
+# A fail-over takes about 1.2 s, so a call with the longest timeout outlasts one. The timeout is only about a third of
+# the client's deadline: after a timeout the client is answered at once and has time for two retries at other nodes.
 PRIMARY_TIMEOUT_SHARE = 0.35
 MAX_PRIMARY_TIMEOUT_SECONDS = 1.2
 
 _JOB_ID = re.compile(r"[0-9a-fA-F]{16}")
 
-Respond = Callable[[int, bytes, int], None]  # status, body, milliseconds for Retry-After (0: none)
+Respond = Callable[[int, bytes, int], None]  # status, body, Retry-After in milliseconds (0: no header)
 
 
 class _Call(Struct):
-    """A client's call on its way."""
+    """A client's call in progress."""
 
     kind: CallKind
     route: Route | None
     body: bytes
     respond: Respond
-    local_decision: LocalDecision | None = None  # of a job to be submitted
+    local_decision: LocalDecision | None = None  # only of a job submission
 
 
 class Ingress:
-    """Takes clients' calls at this node."""
+    """Handles clients' calls at this node."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         my_name: str,
         log: EventLog,
     ) -> None:
-        """Hand calls to `primary_caller` in the name of the node `my_name`."""
+        """Forward calls to `primary_caller` on behalf of the node `my_name`."""
         self._primary_caller = primary_caller
         self._data_plane = data_plane
         self._admission = admission
@@ -65,11 +65,11 @@
 
     @property
     def in_progress(self) -> int:
-        """How many calls wait for the primary."""
+        """Number of calls that wait for the primary."""
         return self._in_progress
 
     def stop(self, on_finished: Callable[[], None] | None = None) -> None:
-        """Be unready; `on_finished` is called once no call is in progress (those that still come are served)."""
+        """Become unready; `on_finished` is called once no call is in progress. Calls that still arrive are served."""
         self._readiness.stop()
         self._on_finished = on_finished
         self._finish_if_idle()
@@ -77,7 +77,7 @@
     def client_call(
         self, method: str, host: str, path: str, body: bytes, deadline_ms: float | None, respond: Respond
     ) -> None:
-        """Answer one call of a client by `respond`, now or later; `deadline_ms` is what `X-Deadline-Ms` says."""
+        """Answer a client's call through `respond`, now or later; `deadline_ms` is the `X-Deadline-Ms` header."""
         path = path.partition("?")[0]
         kind = _kind(method, path)
         if isinstance(kind, Answer):
@@ -95,7 +95,7 @@
         self._forward(call, host, path, _primary_timeout(deadline_ms))
 
     def _early_refusal(self, call: _Call, configuration: Configuration) -> Answer | None:
-        """Why the primary needn't be asked, if so."""
+        """Return the refusal of a call that needn't be forwarded to the primary; None if it has to be."""
         if self._in_progress >= MAX_CALLS_IN_PROGRESS:
             self._log.warning("call_refused", reason="too many calls in progress", calls=self._in_progress)
             return unavailable("too many calls in progress")
@@ -105,7 +105,7 @@
         return None
 
     def _local_refusal(self, call: _Call, path: str) -> Answer | None:
-        """Why a job to be submitted is surely not admitted, if so."""
+        """Return the refusal of a submitted job that is certain not to be admitted; None for all other calls."""
         if call.kind is not CallKind.SUBMIT or call.route is None:
             return None
         call.local_decision = self._admission.evaluate(call.route, path[len(call.route.path_prefix) :], call.body)
@@ -135,7 +135,7 @@
 
 
 def _kind(method: str, path: str) -> CallKind | Answer:
-    """What a call asks for, by its method and whether its path ends with a job's ID."""
+    """Return the kind of a call, by its method and whether its path ends with a job ID, or the answer to a bad call."""
     has_job_id = _JOB_ID.fullmatch(path.rpartition("/")[2]) is not None
     if method == "GET":
         return CallKind.STATE if has_job_id else CallKind.COUNT
@@ -147,7 +147,7 @@
 
 
 def _primary_timeout(deadline_ms: float | None) -> float:
-    """Seconds that the primary may take."""
+    """Return the timeout in seconds of the call to the primary."""
     deadline = deadline_ms if deadline_ms is not None and deadline_ms > 0 else DEFAULT_DEADLINE_MS
     return min(PRIMARY_TIMEOUT_SHARE * deadline / 1000.0, MAX_PRIMARY_TIMEOUT_SECONDS)
 
--- a/pipitledge/ingress/local_admission.py
+++ b/pipitledge/ingress/local_admission.py
@@ -1,7 +1,7 @@
-"""Admission at an ingress node: the rule of the primary, over the usage last pulled and what was let in here since.
+"""Admission at an ingress node: the primary's rule, applied to the usage last pulled and to jobs accepted here since.
 
-A refusal here is certain by all that this node knows; whatever is doubtful is for the primary, which counts what is in
-flight everywhere. The count errs one way alone: a job is added to the usage only where that surely doesn't contain it.
+A job is refused here only if the data of this node leaves no doubt; otherwise the primary decides, which knows the load
+of all nodes. The local count can only be too low: a job is added to the usage only if that can't contain it already.
 """
 
 from __future__ import annotations
@@ -16,45 +16,45 @@
 from pipitledge.scheduling.admission_rule import decide
 from pipitledge.scheduling.job import Rejection, is_job_id, parse_submission
 
-MAX_USAGE_AGE_SECONDS = 1.0  # usage older than that refuses nothing; it outlasts a pull that failed
-JOBS_REMEMBERED = 8_192  # jobs handed to the primary last
+MAX_USAGE_AGE_SECONDS = 1.0  # with older usage no job is refused; long enough to survive one failed pull
+JOBS_REMEMBERED = 8_192  # most recent jobs forwarded to the primary
 
 UsageRevision = tuple[int, int]
 
 
 class LocalDecision(Struct, frozen=True):
-    """What this node thinks of a submitted job; not refused means that the primary decides."""
+    """This node's decision on a submitted job; if it is not refused, the primary decides."""
 
     refused: bool = False
     retry_after_ms: int = 0
     queue: str = ""
     weight: float = 0.0
     priority: int = 0
-    usage_revision: UsageRevision | None = None  # of the usage by which it was judged; None: by none
+    usage_revision: UsageRevision | None = None  # of the usage that the decision is based on; None: of none
 
 
 LEFT_TO_PRIMARY = LocalDecision()
 
 
 class LocalAdmission:
-    """Judges the jobs that clients submit at this node."""
+    """Decides on jobs that clients submit at this node."""
 
     def __init__(self, data_plane: DataPlane) -> None:
-        """Judge by the usage that `data_plane` pulls."""
+        """Decide by the usage that `data_plane` pulls."""
         self._data_plane = data_plane
         self._revision = data_plane.usage_revision
-        self._admitted_load: dict[str, QueueLoad] = {}  # by queue, since the usage of `_mark`
-        self._forwarded_jobs: OrderedDict[str, None] = OrderedDict()  # IDs; any of them may have been accepted
+        self._admitted_load: dict[str, QueueLoad] = {}  # by queue, accepted since the usage of `_revision`
+        self._forwarded_jobs: OrderedDict[str, None] = OrderedDict()  # IDs of jobs that the primary may have accepted
 
     def evaluate(self, route: Route, job_id: str, body: bytes) -> LocalDecision:
-        """Whether a job is refused here; if not, it counts as handed on to the primary."""
+        """Decide whether a job is refused here; if not, record it as forwarded to the primary."""
         local_decision = self._evaluate(route, job_id, body)
         if not local_decision.refused:
             self._remember(job_id)
         return local_decision
 
     def accepted(self, local_decision: LocalDecision) -> None:
-        """Count a job that the primary has accepted, unless usage that came meanwhile may contain it."""
+        """Add a job that the primary accepted to the load, unless usage pulled meanwhile may already contain it."""
         self._reset_if_usage_changed()
         if local_decision.usage_revision == self._revision:
             previous = self._admitted_load.get(local_decision.queue, QueueLoad()).inflight
@@ -75,7 +75,7 @@
         )
 
     def _pool(self, route: Route) -> PoolUsage | None:
-        """The pool that the route's queue belongs to, by fresh usage."""
+        """Return the pool of the route's queue; None if the usage is too old or doesn't contain it."""
         self._reset_if_usage_changed()
         report = self._data_plane.usage
         if report is None or self._data_plane.usage_age_s() >= MAX_USAGE_AGE_SECONDS:
@@ -89,7 +89,7 @@
             self._forwarded_jobs.popitem(last=False)
 
     def _reset_if_usage_changed(self) -> None:
-        """Newer usage contains what was let in previous it."""
+        """Reset the load accepted here once newer usage is pulled, which contains it."""
         if self._data_plane.usage_revision != self._revision:
             self._revision = self._data_plane.usage_revision
             self._admitted_load.clear()
--- a/pipitledge/ingress/outcomes.py
+++ b/pipitledge/ingress/outcomes.py
@@ -1,7 +1,7 @@
-"""What a client is told, by how the call to the primary ended.
+"""The answer to a client, depending on the outcome of the call to the primary.
 
-429 and 503 tell the client that its order was not carried out and never will be, so they are given only where that is
-certain. 504 leaves it open: the client asks again, and the same ID stays one job.
+429 and 503 tell the client that its request was not executed and never will be, so they are sent only if that is
+certain. 504 means that the outcome is unknown: the client retries, and a repeated job ID doesn't create a second job.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from pipitledge.membership.primary_caller import Outcome
 from pipitledge.wire.messages import CallKind, ClientReply
 
-RETRY_AFTER_MS = 500  # a fail-over takes about twice that; a client's other tries reach other nodes
+RETRY_AFTER_MS = 500  # about half the time of a fail-over; clients retry at other nodes
 
 REFUSAL_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
@@ -24,38 +24,38 @@
 
     status: int
     body: bytes = b""
-    retry_after_ms: int = 0  # 0: not told
-    location: str = ""  # with a redirect: where to call instead
+    retry_after_ms: int = 0  # 0: no Retry-After header
+    location: str = ""  # target URL of a redirect
 
 
 class _Error(Struct):
-    """The body of an answer that is no success."""
+    """JSON body of an error answer."""
 
     error: str
 
 
 def error_answer(status: int, reason: str, retry_after_ms: int = 0) -> Answer:
-    """An answer that tells what is wrong."""
+    """Return an error answer with `reason` in its body."""
     return Answer(status, msgspec.json.encode(_Error(reason)), retry_after_ms)
 
 
 def unavailable(reason: str) -> Answer:
-    """503: not carried out for certain, worth another try soon."""
+    """Return a 503: certainly not executed, and worth a retry soon."""
     return error_answer(HTTPStatus.SERVICE_UNAVAILABLE, reason, RETRY_AFTER_MS)
 
 
 def outcome_unknown(reason: str) -> Answer:
-    """504: it may have been carried out, or may be later."""
+    """Return a 504: the request may have been executed, or may still be."""
     return error_answer(HTTPStatus.GATEWAY_TIMEOUT, reason)
 
 
 def is_success(status: int) -> bool:
-    """Whether the order was carried out."""
+    """Return whether the request was executed."""
     return HTTPStatus.OK <= status < HTTPStatus.MULTIPLE_CHOICES
 
 
 def client_answer(kind: CallKind, outcome: Outcome) -> Answer:
-    """The answer to a client's call."""
+    """Return the answer to a client's call."""
     changes_state = kind in (CallKind.SUBMIT, CallKind.CANCEL)
     may_have_changed_state = changes_state and outcome.may_have_run
     reply = outcome.reply
@@ -66,7 +66,7 @@
             else unavailable("no primary answers")
         )
     if may_have_changed_state and _reports_not_executed(kind, reply.status):
-        return outcome_unknown("refused, but an earlier attempt may have been carried out")
+        return outcome_unknown("refused, but an earlier attempt may have been executed")
     retry_after_ms = reply.retry_after_ms
     if reply.status in REFUSAL_STATUSES and retry_after_ms <= 0:
         retry_after_ms = RETRY_AFTER_MS
@@ -74,7 +74,7 @@
 
 
 def _reports_not_executed(kind: CallKind, status: int) -> bool:
-    """Whether that status says that nothing was done, which an earlier attempt may belie."""
+    """Return whether `status` claims that nothing was executed, which may be wrong if an earlier attempt was."""
     if kind is CallKind.SUBMIT:
         return not is_success(status)
     return status in REFUSAL_STATUSES
--- a/pipitledge/ingress/readiness.py
+++ b/pipitledge/ingress/readiness.py
@@ -4,28 +4,28 @@
 
 from pipitledge.configuration.data_plane import DataPlane
 
-MAX_CONTACT_AGE_SECONDS = 5.0  # without a primary; far longer than a fail-over, through which all nodes would else flap
+MAX_CONTACT_AGE_SECONDS = 5.0  # far longer than a fail-over, during which all nodes would otherwise become unready
 
 
 class Readiness:
-    """Answers the platform's question of each second."""
+    """The readiness check that the platform calls every second."""
 
     def __init__(self, data_plane: DataPlane) -> None:
-        """Judge by what `data_plane` knows, and how old it is."""
+        """Derive readiness from the data of `data_plane` and its age."""
         self._data_plane = data_plane
         self._stopping = False
 
     @property
     def stopping(self) -> bool:
-        """Whether the process was asked to end."""
+        """Whether the process is shutting down."""
         return self._stopping
 
     def stop(self) -> None:
-        """Be unready from now on."""
+        """Become unready for good."""
         self._stopping = True
 
     def ready(self) -> bool:
-        """Configured, in contact with a primary, and not about to end."""
+        """Return whether the node is configured, in contact with a primary, and not shutting down."""
         if self._stopping or self._data_plane.configuration is None:
             return False
         return self._data_plane.age_s() <= MAX_CONTACT_AGE_SECONDS
--- a/pipitledge/ingress/redirect.py
+++ b/pipitledge/ingress/redirect.py
@@ -1,30 +1,30 @@
-"""Where callers get a large answer that this machine's link would take too long to carry: from the primary itself."""
+"""Redirects to the primary for large answers that this machine's link would take too long to send."""
 
 from __future__ import annotations
 
 from pipitledge.membership.candidates import primary_of
 from pipitledge.membership.membership import Membership
 
-MAX_SEND_SECONDS = 0.3  # of an answer; callers wait for a second in all
+MAX_SEND_SECONDS = 0.3  # longest time to send an answer; callers wait for one second in total
 BITS_PER_BYTE = 8
 BITS_PER_MEGABIT = 1_000_000
 
 
 class LargeAnswerRedirects:
-    """Tells which answers had better come from the primary, and where it takes operators' calls.
+    """Decides which answers are redirected to the primary, and to which URL.
 
-    All nodes of a deployment take operators' calls at the same port, each at its own address.
+    All nodes of a deployment accept operators' calls on the same port.
     """
 
     def __init__(self, membership: Membership, my_name: str, control_plane: str, link_mbps: float) -> None:
-        """For the node `my_name`, which takes operators' calls at `control_plane` ("ip:port") over its own link."""
+        """Create the rule of the node `my_name`; `control_plane` is its "ip:port"; 0 Mbit/s means an unknown link."""
         self._membership = membership
         self._my_name = my_name
         self._port = control_plane.rpartition(":")[2]
         self._bytes_per_s = link_mbps * BITS_PER_MEGABIT / BITS_PER_BYTE
 
     def location(self, size: int, path: str) -> str:
-        """The address to send the caller to for an answer of so many bytes; empty where this node should send it."""
+        """Return the URL to redirect the caller to for an answer of `size` bytes; empty if this node should send it."""
         if self._bytes_per_s <= 0.0 or size / self._bytes_per_s <= MAX_SEND_SECONDS:
             return ""
         primary = primary_of(self._membership.view)
