--- a/tests/system/test_detours.py
+++ b/tests/system/test_detours.py
@@ -1,4 +1,4 @@
-"""Calls by way of relays, in virtual time."""
+"""Calls through relays, in virtual time."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
 NAMES = (PRIMARY, RELAY, OTHER_RELAY, CALLER, AGENT)
 ADDRESSES = {name: f"10.0.0.{index}:{PORT}" for index, name in enumerate(NAMES, 1)}
 VIEW = View(epoch=3, term=3, primary=PRIMARY, members=[Member(name=PRIMARY, address=ADDRESSES[PRIMARY])])
-HANDOVER_S = 0.05
+FORWARDING_S = 0.05
 
 
-class Part:
-    """One process with its detours; the primary answers calls of clients."""
+class RelayingProcess:
+    """One process with relay support; the primary answers clients' calls."""
 
     def __init__(self, process: Process) -> None:
         self.process = process
@@ -62,7 +62,7 @@
         )
         self.relayed_calls.register()
         self.calls = 0
-        process.handlers.on_call(StatusRequest, self._tell)
+        process.handlers.on_call(StatusRequest, self._answer_status)
         if name == PRIMARY:
             process.handlers.on_call(ClientCall, self._answer)
         self.membership.start()
@@ -71,18 +71,18 @@
         self.calls += 1
         reply(ClientReply(status=200))
 
-    def _tell(self, call: Struct, reply: Reply) -> None:
+    def _answer_status(self, call: Struct, reply: Reply) -> None:
         reply(StatusReply(self.process.machine.name.encode()))
 
 
-class Relays(unittest.TestCase):
+class RelayedCallsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.world = World(1)
-        self.parts: dict[str, Part] = {}
+        self.processes: dict[str, RelayingProcess] = {}
         for name in NAMES:
             self.world.machine(name, ADDRESSES[name]).start(self._add)
-        self.world.run_for(4.0)  # until all know each other
-        me = self.parts[CALLER]
+        self.world.run_for(4.0)  # until all processes know each other
+        me = self.processes[CALLER]
         self.caller = PrimaryCaller(
             me.process.clock,
             me.process.network,
@@ -95,32 +95,32 @@
         self.replies: list[Struct | None] = []
 
     def _add(self, process: Process) -> None:
-        self.parts[process.machine.name] = Part(process)
+        self.processes[process.machine.name] = RelayingProcess(process)
 
     def cut(self, *names: str) -> None:
-        """Nothing passes between the caller and these."""
+        """Cut the network between the caller and these processes."""
         for name in names:
             self.world.network.cut(CALLER, name)
 
     def call(self, timeout_s: float = 3.0) -> float:
-        """Have the primary called; how long that took."""
-        begun, before = self.world.time, len(self.outcomes)
+        """Call the primary; return how long the call took."""
+        started_at, before = self.world.time, len(self.outcomes)
         self.caller.call(ClientCall(path="/x"), timeout_s, self.outcomes.append)
-        self.world.run_while(lambda: len(self.outcomes) == before, limit=timeout_s + HANDOVER_S)
-        return self.world.time - begun
+        self.world.run_while(lambda: len(self.outcomes) == before, limit=timeout_s + FORWARDING_S)
+        return self.world.time - started_at
 
     def served(self) -> list[bool]:
-        """Which calls were answered."""
+        """Return for each call whether it was answered."""
         return [outcome.reply == ClientReply(status=200) for outcome in self.outcomes]
 
-    def test_a_primary_that_cannot_be_reached_is_called_by_a_relay(self) -> None:
+    def test_an_unreachable_primary_is_called_through_a_relay(self) -> None:
         self.call()
         self.cut(PRIMARY)
-        self.assertLess(self.call(), ATTEMPT_TIMEOUT_S + HANDOVER_S)
-        self.assertLess(self.call(), HANDOVER_S)  # the relay is kept
+        self.assertLess(self.call(), ATTEMPT_TIMEOUT_S + FORWARDING_S)
+        self.assertLess(self.call(), FORWARDING_S)  # the relay is used again
         self.assertEqual([True] * 3, self.served())
 
-    def test_a_relay_that_fails_gives_way_to_another(self) -> None:
+    def test_a_failed_relay_is_replaced_by_another(self) -> None:
         self.cut(PRIMARY)
         self.call()
         for relay in (RELAY, OTHER_RELAY):
@@ -129,24 +129,24 @@
             self.world.network.join(CALLER, relay)
         self.assertEqual([True] * 3, self.served())
 
-    def test_once_the_primary_can_be_reached_again_no_relay_is_asked(self) -> None:
+    def test_a_primary_that_is_reachable_again_is_called_directly(self) -> None:
         self.cut(PRIMARY)
         self.call()
         self.world.network.join(CALLER, PRIMARY)
         self.world.run_for(PROBE_INTERVAL_S)
         self.call()
-        self.world.run_for(HANDOVER_S)
+        self.world.run_for(FORWARDING_S)
         for relay in (RELAY, OTHER_RELAY):
             self.world.network.isolate(relay)
-        self.assertLess(self.call(), HANDOVER_S)
+        self.assertLess(self.call(), FORWARDING_S)
         self.assertEqual([True] * 3, self.served())
 
-    def test_a_primary_that_nobody_reaches_holds_a_search_up_for_no_longer_than_a_relayed_attempt(self) -> None:
+    def test_a_primary_that_no_node_reaches_delays_a_search_by_at_most_one_relayed_attempt(self) -> None:
         self.world.network.isolate(PRIMARY)
         self.call(timeout_s=ATTEMPT_TIMEOUT_S + 2 * RELAYED_ATTEMPT_TIMEOUT_S)
         self.assertEqual([False], self.served())
 
-    def test_the_receiver_calls_back_by_the_relay_for_a_while(self) -> None:
+    def test_the_receiver_calls_back_through_the_relay_for_a_while(self) -> None:
         self.cut(PRIMARY)
         self.call()
         self.assertEqual(StatusReply(CALLER.encode()), self.call_back())
@@ -154,31 +154,31 @@
         self.assertIsNone(self.call_back())
 
     def call_back(self) -> Struct | None:
-        """Have the primary call the caller."""
+        """Make the primary call the caller; return the answer."""
         before = len(self.replies)
-        relayed_calls = self.parts[PRIMARY].relayed_calls
+        relayed_calls = self.processes[PRIMARY].relayed_calls
         relayed_calls.call(ADDRESSES[CALLER], StatusRequest(), 0.5, self.replies.append)
         self.world.run_while(lambda: len(self.replies) == before, limit=1.0)
         return self.replies[-1]
 
-    def test_a_relay_passes_nothing_on_twice(self) -> None:
-        network = self.parts[CALLER].process.network
+    def test_a_relayed_call_is_not_relayed_again(self) -> None:
+        network = self.processes[CALLER].process.network
         passed = Forward(target=ADDRESSES[PRIMARY], origin=ADDRESSES[CALLER], relay="elsewhere", message=b"x")
         network.call(ADDRESSES[RELAY], passed, 0.5, self.replies.append)
         self.world.run_for(0.5)
         self.assertEqual([Forwarded()], self.replies)
 
-    def test_bytes_that_are_no_message_get_no_answer(self) -> None:
-        network = self.parts[CALLER].process.network
+    def test_bytes_that_do_not_decode_get_no_answer(self) -> None:
+        network = self.processes[CALLER].process.network
         for address in (PRIMARY, RELAY):
             garbage = Forward(target=ADDRESSES[PRIMARY], origin=ADDRESSES[CALLER], timeout_ms=300, message=b"garbage")
             network.call(ADDRESSES[address], garbage, 0.5, self.replies.append)
         self.world.run_for(0.5)
         self.assertEqual([Forwarded(), Forwarded()], self.replies)
-        self.assertEqual(0, self.parts[PRIMARY].calls)
+        self.assertEqual(0, self.processes[PRIMARY].calls)
 
-    def test_neither_members_nor_agents_are_relays(self) -> None:
-        me = self.parts[CALLER]
+    def test_neither_voting_members_nor_agents_are_relays(self) -> None:
+        me = self.processes[CALLER]
         known = {node.name for node in me.membership.nodes()}
         self.assertEqual({PRIMARY, RELAY, OTHER_RELAY, AGENT}, known)
         self.assertNotEqual("", me.relayed_calls.choose_relay())
--- a/tests/system/test_membership.py
+++ b/tests/system/test_membership.py
@@ -57,10 +57,10 @@
 
 
 class Cluster:
-    """Processes that do nothing but membership."""
+    """Processes that run only the membership gossip."""
 
     def __init__(self, size: int, loss: float = 0.0, seed: int = 1, agents: int = 0) -> None:
-        """The last `agents` of them are agents."""
+        """Create `size` processes, of which the last `agents` are agents."""
         self.first_agent = size - agents
         self.world = World(seed)
         self.world.network.datagram_loss = loss
@@ -89,7 +89,7 @@
         self.members[name] = member
         member.start()
 
-    def everyone_knows_everyone(self) -> bool:
+    def all_know_each_other(self) -> bool:
         running = {machine.name for machine in self.machines if machine.running}
         return all(
             {node.name for node in member.nodes()} == running - {name}
@@ -98,29 +98,29 @@
         )
 
 
-class MembershipOfMany(unittest.TestCase):
-    def test_twenty_know_each_other_within_three_seconds(self) -> None:
+class MembershipOfManyProcesses(unittest.TestCase):
+    def test_twenty_processes_know_each_other_within_three_seconds(self) -> None:
         for seed in range(10):
             cluster = Cluster(20, loss=0.1, seed=seed)
             cluster.world.run_until(1.0)
             self.assertEqual(len(cluster.members), 20)
-            self.assertTrue(cluster.world.run_while(lambda c=cluster: not c.everyone_knows_everyone(), limit=2.0), seed)
+            self.assertTrue(cluster.world.run_while(lambda c=cluster: not c.all_know_each_other(), limit=2.0), seed)
 
-    def test_they_keep_knowing_each_other(self) -> None:
+    def test_processes_of_a_small_system_stay_known_to_each_other(self) -> None:
         cluster = Cluster(20, loss=0.1)
         cluster.world.run_until(5.0)
         for _ in range(120):
             cluster.world.run_for(0.5)
-            self.assertTrue(cluster.everyone_knows_everyone(), cluster.world.time)
+            self.assertTrue(cluster.all_know_each_other(), cluster.world.time)
 
-    def test_sixty_keep_knowing_nearly_all(self) -> None:
+    def test_sixty_processes_stay_known_to_nearly_all(self) -> None:
         cluster = Cluster(60, loss=0.05)
         cluster.world.run_until(15.0)
         for _ in range(20):
             cluster.world.run_for(1.0)
             self.assertGreaterEqual(min(len(member.nodes()) for member in cluster.members.values()), 55)
 
-    def test_counted_nodes_are_known_to_all_in_a_large_system(self) -> None:
+    def test_voting_nodes_are_known_to_all_processes_of_a_large_system(self) -> None:
         cluster = Cluster(150, loss=0.05)
         cluster.world.run_until(8.0)
         for _ in range(10):
@@ -129,7 +129,7 @@
                 others = {f"node-{index}" for index in range(COUNTED)} - {name}
                 self.assertEqual({node.name for node in member.counted()}, others)
 
-    def test_a_new_incarnation_replaces_the_old_one_for_good(self) -> None:
+    def test_a_new_incarnation_replaces_the_old_one_permanently(self) -> None:
         cluster = Cluster(12, loss=0.1)
         cluster.world.run_until(4.0)
         old = cluster.members["node-7"].me.incarnation
@@ -141,7 +141,7 @@
             cluster.world.run_for(1.0)
             self.assertEqual(self.incarnations_of(cluster, 7), {new})
 
-    def test_one_that_lost_its_count_of_starts_replaces_its_old_self(self) -> None:
+    def test_a_process_that_lost_its_start_count_replaces_its_old_incarnation(self) -> None:
         cluster = Cluster(12)
         cluster.world.run_until(1.0)
         cluster.start(7, cluster.machines[7])
@@ -152,21 +152,21 @@
         cluster.world.run_for(4.0)
         self.assertEqual(self.incarnations_of(cluster, 7), {cluster.members["node-7"].me.incarnation})
 
-    def test_a_dead_node_is_forgotten_and_stays_so(self) -> None:
+    def test_a_dead_node_is_dropped_and_does_not_come_back(self) -> None:
         cluster = Cluster(20, loss=0.1)
         cluster.world.run_until(4.0)
         cluster.machines[9].power_off()
         cluster.world.run_for(ALIVE_TIMEOUT_S - 2.0)
-        self.assertFalse(cluster.everyone_knows_everyone(), "it was heard of lately")
+        self.assertFalse(cluster.all_know_each_other(), "it was seen lately")
         cluster.world.run_for(6.0)
         for _ in range(20):
             cluster.world.run_for(1.0)
-            self.assertTrue(cluster.everyone_knows_everyone())
+            self.assertTrue(cluster.all_know_each_other())
         cluster.world.run_for(FORGET_AFTER_S)
         found = [name for name, member in cluster.members.items() if member.find("node-9") and name != "node-9"]
         self.assertEqual(found, [])
 
-    def test_parts_that_forgot_each_other_meet_again(self) -> None:
+    def test_partitions_that_forgot_each_other_find_each_other_again(self) -> None:
         cluster = Cluster(8)
         cluster.world.run_until(4.0)
         for one in range(4):
@@ -175,18 +175,18 @@
         cluster.world.run_for(2 * FORGET_AFTER_S)
         self.assertEqual(len(cluster.members["node-7"].nodes()), 3)
         cluster.world.network.join_all()
-        self.assertTrue(cluster.world.run_while(lambda: not cluster.everyone_knows_everyone(), limit=15.0))
+        self.assertTrue(cluster.world.run_while(lambda: not cluster.all_know_each_other(), limit=15.0))
 
     def test_a_view_spreads_and_newer_ones_replace_it(self) -> None:
         cluster = Cluster(20, loss=0.1)
         cluster.world.run_until(4.0)
-        for epoch, patience in ((1, 5.0), (2, 8.0)):
+        for epoch, wait_s in ((1, 5.0), (2, 8.0)):
             cluster.members["node-3"].offer_view(view_of(epoch, primary=epoch))
-            cluster.world.run_for(patience)
+            cluster.world.run_for(wait_s)
             views = [member.view for member in cluster.members.values()]
             self.assertEqual(views, [view_of(epoch, primary=epoch)] * 20)
 
-    def test_one_that_starts_later_learns_a_view_that_is_no_news(self) -> None:
+    def test_a_process_that_starts_later_learns_an_old_view(self) -> None:
         cluster = Cluster(10)
         cluster.world.run_until(2.0)
         cluster.members["node-3"].offer_view(view_of(1, primary=0))
@@ -195,7 +195,7 @@
         cluster.world.run_for(1.0)
         self.assertEqual(cluster.members["node-8"].view, view_of(1, primary=0))
 
-    def test_one_that_is_stopped_and_the_others_forget_each_other(self) -> None:
+    def test_a_stopped_process_and_the_others_forget_each_other(self) -> None:
         cluster = Cluster(4)
         cluster.world.run_until(4.0)
         cluster.members["node-3"].stop()
@@ -203,7 +203,7 @@
         self.assertEqual(cluster.members["node-3"].nodes(), [])
         self.assertEqual({node.name for node in cluster.members["node-2"].nodes()}, {"node-0", "node-1"})
 
-    def test_seeds_may_change(self) -> None:
+    def test_seeds_can_be_replaced(self) -> None:
         world = World()
         process = world.machine("me", address(1)).start(lambda process: None)
         me = NodeDescriptor(name="me", address=address(1))
@@ -219,7 +219,7 @@
 
 
 class AgentsAmongNodes(unittest.TestCase):
-    """Agents know the nodes and are known to them, at little cost."""
+    """Agents and nodes know each other with little gossip traffic."""
 
     def agents_of(self, cluster: Cluster) -> list[Membership]:
         return [member for member in cluster.members.values() if member.me.machine_class == AGENT_MACHINE_CLASS]
@@ -227,7 +227,7 @@
     def nodes_of(self, cluster: Cluster) -> list[Membership]:
         return [member for member in cluster.members.values() if member.me.machine_class != AGENT_MACHINE_CLASS]
 
-    def test_each_counted_node_is_known_to_each_agent(self) -> None:
+    def test_each_voting_node_is_known_to_each_agent(self) -> None:
         cluster = Cluster(81, loss=0.05, agents=65)
         cluster.world.run_until(8.0)
         for _ in range(20):
@@ -235,7 +235,7 @@
             for agent in self.agents_of(cluster):
                 self.assertEqual(COUNTED, len(agent.counted()), agent.me.name)
 
-    def test_nodes_keep_knowing_nearly_all_agents_of_a_small_system(self) -> None:
+    def test_nearly_all_agents_of_a_small_system_stay_known_to_nodes(self) -> None:
         cluster = Cluster(18, loss=0.05, agents=11)
         cluster.world.run_until(8.0)
         for _ in range(60):
@@ -244,7 +244,7 @@
                 known = [other for other in node.nodes() if other.machine_class == AGENT_MACHINE_CLASS]
                 self.assertGreaterEqual(len(known), 10, node.me.name)
 
-    def test_a_new_view_reaches_all_agents_soon(self) -> None:
+    def test_a_new_view_reaches_all_agents_within_two_shuffle_intervals(self) -> None:
         for seed in range(5):
             cluster = Cluster(18, loss=0.05, seed=seed, agents=11)
             cluster.world.run_until(8.0)
@@ -253,18 +253,18 @@
             unaware = [agent.me.name for agent in self.agents_of(cluster) if agent.view is None]
             self.assertEqual([], unaware, seed)
 
-    def test_an_agent_spends_less_than_two_kilobytes_a_second(self) -> None:
+    def test_gossip_of_an_agent_takes_less_than_two_kilobytes_a_second(self) -> None:
         cluster = Cluster(81, agents=65)
         cluster.world.run_until(8.0)
         sizes: list[int] = []
         agent = cluster.machines[-1]
-        self.record_both_ways(cluster, agent, sizes)
+        self.record_sent_and_received(cluster, agent, sizes)
         cluster.world.run_for(30.0)
         self.assertLess(sum(sizes) / 30.0, 2_000.0)
         self.assertGreater(len(sizes), 10)
 
-    def record_both_ways(self, cluster: Cluster, machine: Machine, sizes: list[int]) -> None:
-        """Take note of the length of all that a machine sends and is sent."""
+    def record_sent_and_received(self, cluster: Cluster, machine: Machine, sizes: list[int]) -> None:
+        """Record the length of all datagrams that a machine sends and receives."""
         process = machine.process
         assert process is not None
         send, take = process.network.datagram, process.handlers.datagram
@@ -281,16 +281,16 @@
         process.handlers.datagram = taken  # type: ignore[method-assign]
 
 
-class ViewsOffered(unittest.TestCase):
-    def test_listeners_hear_of_newer_views_only(self) -> None:
+class ViewUpdates(unittest.TestCase):
+    def test_listeners_are_notified_of_newer_views_only(self) -> None:
         process = World().machine("me", address(1)).start(lambda process: None)
         me = NodeDescriptor(name="me", address=address(1))
         member = Membership(process.clock, process.network, process.random, me, [], PORT)
-        heard: list[View] = []
-        member.on_view(heard.append)
+        notified: list[View] = []
+        member.on_view(notified.append)
         for view in (None, View(), view_of(2, 1), view_of(1, 0), view_of(2, 1), view_of(3, 1)):
             member.offer_view(view)
-        self.assertEqual([view.epoch for view in heard], [2, 3])
+        self.assertEqual([view.epoch for view in notified], [2, 3])
 
     def test_shuffles_fit_into_a_datagram(self) -> None:
         sizes: list[int] = []
@@ -299,12 +299,12 @@
             for index, machine in enumerate(cluster.machines):
                 cluster.start(index, machine)
                 self.record_sizes(machine, sizes)
-                cluster.members[machine.name].offer_view(self.view_of_strangers(members))
+                cluster.members[machine.name].offer_view(self.view_of_unknown_members(members))
             cluster.world.run_for(10.0)
         self.assertGreater(len(sizes), 300)
         self.assertLessEqual(max(sizes), MAX_DATAGRAM_BYTES)
 
-    def view_of_strangers(self, members: int) -> View:
+    def view_of_unknown_members(self, members: int) -> View:
         names = [f"a-machine-with-a-longer-name-{index}" for index in range(members)]
         return View(epoch=members, in_sync=names, members=[Member(name=name, address=name) for name in names])
 
@@ -320,60 +320,62 @@
         handlers.on_datagram(Shuffle, recorded)
 
 
-class Entries(unittest.TestCase):
+class PartialViewEntries(unittest.TestCase):
     def setUp(self) -> None:
         self.view = PartialView("me", random.Random(1), capacity=4)
 
-    def node(self, name: str, age: float = 0.0, counted: bool = False, start: int = 1, life: int = 1) -> NodeDescriptor:
+    def node(
+        self, name: str, age: float = 0.0, counted: bool = False, start: int = 1, incarnation: int = 1
+    ) -> NodeDescriptor:
         return NodeDescriptor(
-            name=name, counted=counted, age_ms=round(age * 1000), started_sequence=start, incarnation=life
+            name=name, counted=counted, age_ms=round(age * 1000), started_sequence=start, incarnation=incarnation
         )
 
     def names(self, since: float = 0.0) -> set[str]:
         return {node.name for node in self.view.seen_since(since)}
 
-    def test_it_holds_others_only(self) -> None:
+    def test_the_process_itself_is_never_an_entry(self) -> None:
         self.view.record_gossip([self.node("me"), self.node("a")], 10.0)
         self.assertEqual(self.names(), {"a"})
 
-    def test_the_oldest_makes_room_and_counted_ones_stay(self) -> None:
+    def test_the_oldest_entry_is_evicted_and_voting_nodes_stay(self) -> None:
         self.view.record_gossip([self.node("a", 5.0, counted=True), self.node("b", 4.0), self.node("c", 1.0)], 10.0)
         self.view.record_gossip([self.node("d", 2.0), self.node("e", 3.0)], 10.0)
         self.assertEqual(self.names(), {"a", "c", "d", "e"})
 
-    def test_hearsay_grows_no_younger_under_way(self) -> None:
+    def test_an_entry_gets_no_younger_by_network_delay(self) -> None:
         self.view.record_gossip([self.node("a", 2.0)], 10.0)
         self.view.record_gossip([self.node("a", 2.0)], 10.0 + GOSSIP_MARGIN_S)
         self.assertEqual(self.names(since=8.1), set())
         self.view.record_gossip([self.node("a", 2.0)], 10.1 + GOSSIP_MARGIN_S)
         self.assertEqual(self.names(since=8.1), {"a"})
 
-    def test_a_later_start_wins_whatever_its_age(self) -> None:
+    def test_a_later_start_replaces_an_earlier_one_of_any_age(self) -> None:
         self.view.record_gossip([self.node("a", 0.0)], 10.0)
-        self.view.record_gossip([self.node("a", 1.0, start=2, life=2)], 10.0)
-        self.view.record_gossip([self.node("a", 0.0, start=1, life=1)], 12.0)
+        self.view.record_gossip([self.node("a", 1.0, start=2, incarnation=2)], 10.0)
+        self.view.record_gossip([self.node("a", 0.0, start=1, incarnation=1)], 12.0)
         found = self.view.find("a")
         self.assertEqual(found and found.incarnation, 2)
 
     def test_a_process_late_in_the_air_does_not_replace_its_newer_self(self) -> None:
-        self.view.record_contact(self.node("a", start=2, life=2), 10.0)
-        self.view.record_contact(self.node("a", start=1, life=1), 10.0 + LOST_DISK_SILENCE_S)
+        self.view.record_contact(self.node("a", start=2, incarnation=2), 10.0)
+        self.view.record_contact(self.node("a", start=1, incarnation=1), 10.0 + LOST_DISK_SILENCE_S)
         found = self.view.find("a")
         self.assertEqual(found and found.incarnation, 2)
 
-    def test_answers_bring_what_is_younger_first(self) -> None:
+    def test_answers_contain_younger_entries_first(self) -> None:
         self.view.record_gossip([self.node("a", 1.0), self.node("b", 6.0), self.node("c", 1.0)], 10.0)
         asked = [self.node("a", 5.0), self.node("b", 5.0)]
         self.assertEqual([node.name for node in self.view.answer(asked, 10.0, 1, 0.0)], ["a"])
         self.assertEqual([node.name for node in self.view.answer(asked, 10.0, 8, 0.0)], ["a", "c"])
 
-    def test_samples_tell_ages_as_of_now(self) -> None:
+    def test_samples_contain_current_ages(self) -> None:
         self.view.record_gossip([self.node("a", 1.0)], 10.0)
         self.assertEqual([node.age_ms for node in self.view.sample(12.0, 8, 0.0)], [3000])
 
 
-class Node:
-    """A node that may be primary: counts what it is asked and answers as it is told."""
+class ScriptedNode:
+    """A candidate for primary: records when it is called and gives the answer that the test sets."""
 
     def __init__(self, process: Process) -> None:
         self.asked: list[float] = []
@@ -388,7 +390,7 @@
 
 
 class _AdvancingClock:
-    """Like a real clock, it is later at each reading."""
+    """A clock that, like a real one, is later at each reading."""
 
     def __init__(self) -> None:
         self._reading = 0.0
@@ -398,7 +400,7 @@
         return self._reading
 
 
-class Rounds(unittest.TestCase):
+class SearchRoundsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.world = World(1)
         process = self.world.machine("me", "10.0.0.50:7660").start(lambda process: None)
@@ -420,23 +422,23 @@
             self.assertEqual(asked[0], self.primary)
             self.assertEqual(sorted(asked, key=str), [Candidate(address(i), f"node-{i}") for i in range(COUNTED)])
 
-    def test_a_silent_one_is_left_out_for_a_while_and_then_asked_last(self) -> None:
+    def test_an_unresponsive_node_is_skipped_for_a_while_and_then_asked_last(self) -> None:
         self.rounds.mark_unresponsive(self.primary)
         self.assertNotIn(self.primary, self.round())
         self.world.run_for(UNRESPONSIVE_RETRY_S)
         self.assertEqual(self.round()[-1], self.primary)
 
-    def test_no_one_is_left_out_though_each_reading_of_the_clock_is_later_than_the_last(self) -> None:
+    def test_no_candidate_is_skipped_though_each_clock_reading_is_later_than_the_last(self) -> None:
         clock = _AdvancingClock()
         self.rounds = SearchRounds(cast(Clock, clock), self.membership, random.Random(1))
         self.assertEqual(len(self.round()), COUNTED)
 
-    def test_one_that_answers_again_is_asked_in_its_place(self) -> None:
+    def test_a_node_that_answers_again_is_asked_in_the_usual_order(self) -> None:
         self.rounds.mark_unresponsive(self.primary)
         self.rounds.mark_responsive(self.primary)
         self.assertEqual(self.round()[0], self.primary)
 
-    def test_all_are_asked_where_all_are_silent(self) -> None:
+    def test_all_nodes_are_asked_if_all_are_unresponsive(self) -> None:
         for candidate in self.round():
             self.rounds.mark_unresponsive(candidate)
         self.assertEqual(len(self.round()), COUNTED)
@@ -451,7 +453,7 @@
         expected = [Candidate(address(index), f"node-{index}") for index in (primary, last)]
         self.assertEqual([self.rounds.next(), self.rounds.next(), self.rounds.next()], [*expected, None])
 
-    def test_a_silent_one_is_asked_at_once_where_a_newer_view_says_that_it_leads(self) -> None:
+    def test_an_unresponsive_node_is_asked_at_once_if_it_is_the_primary_of_a_newer_view(self) -> None:
         silent = Candidate(address(1), "node-1")
         self.rounds.mark_unresponsive(silent)
         self.membership.offer_view(view_of(2, 1))
@@ -459,10 +461,10 @@
         self.assertEqual(self.rounds.next(), silent)
 
 
-class Callers(unittest.TestCase):
+class PrimaryCallerTest(unittest.TestCase):
     def setUp(self) -> None:
         self.world = World(1)
-        self.nodes: list[Node] = []
+        self.nodes: list[ScriptedNode] = []
         for index in range(COUNTED):
             self.world.machine(f"node-{index}", address(index)).start(self.add_node)
         self.process = self.world.machine("me", "10.0.0.50:7660").start(lambda process: None)
@@ -472,38 +474,38 @@
         self.outcomes: list[Outcome] = []
 
     def add_node(self, process: Process) -> None:
-        self.nodes.append(Node(process))
+        self.nodes.append(ScriptedNode(process))
 
     def make_primary(self, index: int, epoch: int) -> None:
-        """That node leads, and all others that are there tell so."""
+        """Make that node primary; all other nodes that answer refer to it."""
         for node in self.nodes:
             if node.answer is not None:
                 node.answer = NotPrimary(view=view_of(epoch, index))
         self.nodes[index].answer = ClientReply(status=200 + index)
 
-    def silence(self, index: int) -> None:
+    def stop_answering(self, index: int) -> None:
         self.nodes[index].answer = None
 
-    def call(self, patience: float = 5.0) -> None:
-        self.caller.call(ClientCall(path="/x"), patience, self.outcomes.append)
+    def call(self, timeout: float = 5.0) -> None:
+        self.caller.call(ClientCall(path="/x"), timeout, self.outcomes.append)
 
-    def call_and_wait(self, patience: float = 5.0) -> Outcome:
+    def call_and_wait(self, timeout: float = 5.0) -> Outcome:
         before = len(self.outcomes)
-        self.call(patience)
-        self.assertTrue(self.world.run_while(lambda: len(self.outcomes) == before, limit=patience + 0.1))
+        self.call(timeout)
+        self.assertTrue(self.world.run_while(lambda: len(self.outcomes) == before, limit=timeout + 0.1))
         return self.outcomes[-1]
 
     def asked(self) -> list[int]:
         return [len(node.asked) for node in self.nodes]
 
-    def test_the_primary_is_called_straight(self) -> None:
+    def test_the_primary_is_called_directly(self) -> None:
         self.membership.offer_view(view_of(1, 3))
         self.make_primary(3, 1)
         for _ in range(3):
             self.assertEqual(self.call_and_wait(), Outcome(ClientReply(status=203), may_have_run=False))
         self.assertEqual(self.asked(), [0, 0, 0, 3, 0])
 
-    def test_a_long_request_is_waited_for_longer(self) -> None:
+    def test_a_long_request_has_a_longer_timeout(self) -> None:
         self.membership.offer_view(view_of(1, 3))
         timeouts: list[float] = []
         with mock.patch.object(
@@ -513,46 +515,46 @@
                 self.caller.call(OperatorCall("PUT", "", bytes(size)), 10.0, self.outcomes.append)
         self.assertAlmostEqual(timeouts[1] - timeouts[0], 1.0)
 
-    def test_not_primary_leads_to_the_new_one(self) -> None:
+    def test_not_primary_leads_to_the_new_primary(self) -> None:
         self.membership.offer_view(view_of(1, 3))
         self.make_primary(4, 2)
         self.assertEqual(self.call_and_wait(), Outcome(ClientReply(status=204), may_have_run=False))
         self.assertEqual(self.asked(), [0, 0, 0, 1, 1])
         self.assertEqual(self.membership.view, view_of(2, 4))
 
-    def test_silence_leads_to_the_new_one_and_is_told(self) -> None:
+    def test_a_timeout_leads_to_the_new_primary_and_sets_may_have_run(self) -> None:
         self.membership.offer_view(view_of(1, 3))
-        self.silence(3)
+        self.stop_answering(3)
         self.make_primary(4, 2)
         started = self.world.time
         self.assertEqual(self.call_and_wait(), Outcome(ClientReply(status=204), may_have_run=True))
         self.assertLess(self.world.time - started, ATTEMPT_TIMEOUT_S + 0.1)
         self.assertEqual(self.call_and_wait(), Outcome(ClientReply(status=204), may_have_run=False))
 
-    def test_a_node_that_does_not_know_of_the_new_primary_is_passed_over(self) -> None:
+    def test_the_search_goes_on_after_a_node_that_does_not_know_the_new_primary(self) -> None:
         self.membership.offer_view(view_of(1, 3))
         self.nodes[1].answer = ClientReply(status=201)
         self.assertEqual(self.call_and_wait(), Outcome(ClientReply(status=201), may_have_run=False))
 
-    def test_patience_ends_while_nobody_leads(self) -> None:
+    def test_a_call_times_out_while_there_is_no_primary(self) -> None:
         self.membership.offer_view(view_of(1, 3))
         started = self.world.time
-        self.assertIsNone(self.call_and_wait(patience=2.0).reply)
+        self.assertIsNone(self.call_and_wait(timeout=2.0).reply)
         self.assertAlmostEqual(self.world.time - started, 2.0, places=2)
-        self.assertLess(max(self.asked()), 14, "rounds are paused between")
+        self.assertLess(max(self.asked()), 14, "there is a pause between rounds")
 
-    def test_what_everyone_refused_has_not_run(self) -> None:
+    def test_a_call_that_all_nodes_refused_has_not_run(self) -> None:
         self.membership.offer_view(view_of(1, 3))
         self.world.network.delay, self.world.network.jitter = 0.001, 0.0
-        self.assertEqual(self.call_and_wait(patience=0.025), Outcome(None, may_have_run=False))
-        self.assertEqual(self.asked(), [1] * COUNTED, "patience ended in the pause after the first round")
+        self.assertEqual(self.call_and_wait(timeout=0.025), Outcome(None, may_have_run=False))
+        self.assertEqual(self.asked(), [1] * COUNTED, "the call timed out in the pause after the first round")
 
-    def test_patience_ends_while_all_are_silent(self) -> None:
+    def test_a_call_times_out_while_no_node_answers(self) -> None:
         self.membership.offer_view(view_of(1, 3))
         for index in range(COUNTED):
-            self.silence(index)
+            self.stop_answering(index)
         started = self.world.time
-        self.assertEqual(self.call_and_wait(patience=0.5), Outcome(None, may_have_run=True))
+        self.assertEqual(self.call_and_wait(timeout=0.5), Outcome(None, may_have_run=True))
         self.assertAlmostEqual(self.world.time - started, 0.5, places=2)
 
     def test_without_a_view_the_seeds_are_asked(self) -> None:
@@ -560,7 +562,7 @@
         self.assertEqual(self.call_and_wait(), Outcome(ClientReply(status=204), may_have_run=False))
         self.assertEqual(sum(self.asked()[:SEEDS]), 1)
 
-    def test_without_a_view_counted_nodes_that_are_known_are_asked_first(self) -> None:
+    def test_without_a_view_known_voting_nodes_are_asked_first(self) -> None:
         known = NodeDescriptor(name="node-4", address=address(4), counted=True)
         handlers = self.process.handlers
         self.membership.register(handlers)
@@ -569,11 +571,11 @@
         self.assertEqual(self.call_and_wait(), Outcome(ClientReply(status=204), may_have_run=False))
         self.assertEqual(self.asked(), [0, 0, 0, 0, 1])
 
-    def test_with_nobody_to_ask_patience_ends(self) -> None:
+    def test_a_call_times_out_without_any_candidate(self) -> None:
         self.membership.update_seeds([])
-        self.assertEqual(self.call_and_wait(patience=1.0), Outcome(None, may_have_run=False))
+        self.assertEqual(self.call_and_wait(timeout=1.0), Outcome(None, may_have_run=False))
 
-    def test_a_search_costs_the_same_for_many_calls(self) -> None:
+    def test_a_search_for_many_calls_costs_as_much_as_for_one(self) -> None:
         self.membership.offer_view(view_of(1, 3))
         for _ in range(100):
             self.call()
@@ -584,28 +586,28 @@
         self.world.run_for(1.0)
         self.assertEqual(self.outcomes, [Outcome(ClientReply(status=202), may_have_run=False)] * 100)
 
-    def test_a_silent_node_does_not_hold_up_each_round(self) -> None:
+    def test_an_unresponsive_node_does_not_delay_each_round(self) -> None:
         self.membership.offer_view(view_of(1, 3))
-        self.silence(3)
+        self.stop_answering(3)
         self.call()
         self.world.run_for(ATTEMPT_TIMEOUT_S + 0.3)
         self.nodes[1].answer = ClientReply(status=201)
         self.world.run_for(0.4)
         self.assertEqual(self.outcomes, [Outcome(ClientReply(status=201), may_have_run=True)])
 
-    def test_one_that_was_silent_for_a_while_is_found_again(self) -> None:
+    def test_a_primary_that_did_not_answer_for_a_while_is_found_again(self) -> None:
         self.membership.offer_view(view_of(1, 3))
-        self.silence(3)
+        self.stop_answering(3)
         self.call()
         self.world.run_for(ATTEMPT_TIMEOUT_S + 0.3)
         self.nodes[3].answer = ClientReply(status=203)
         self.world.run_for(2.0)
         self.assertEqual(self.outcomes, [Outcome(ClientReply(status=203), may_have_run=True)])
 
-    def test_a_view_heard_of_in_a_search_is_used_at_once(self) -> None:
+    def test_a_view_received_during_a_search_is_used_at_once(self) -> None:
         self.membership.offer_view(view_of(1, 3))
         for index in range(COUNTED):
-            self.silence(index)
+            self.stop_answering(index)
         self.call()
         self.world.run_for(0.3)
         self.membership.offer_view(view_of(2, 1))
@@ -613,10 +615,10 @@
         self.world.run_for(ATTEMPT_TIMEOUT_S + 0.1)
         self.assertEqual(self.outcomes, [Outcome(ClientReply(status=201), may_have_run=True)])
 
-    def test_a_scout_leaves_a_silent_candidate_for_the_primary_of_a_newer_view(self) -> None:
+    def test_a_search_call_abandons_an_unresponsive_candidate_for_the_primary_of_a_newer_view(self) -> None:
         self.membership.offer_view(view_of(1, 3))
         for index in range(COUNTED):
-            self.silence(index)
+            self.stop_answering(index)
         self.call()
         self.world.run_for(ATTEMPT_TIMEOUT_S + 0.1)
         self.nodes[1].answer = ClientReply(status=201)
@@ -625,20 +627,20 @@
         self.world.run_for(0.1)
         self.assertEqual(self.outcomes, [Outcome(ClientReply(status=201), may_have_run=True)])
 
-    def test_a_call_that_nobody_answers_does_not_hold_up_others(self) -> None:
+    def test_a_call_that_no_node_answers_does_not_block_others(self) -> None:
         self.membership.offer_view(view_of(1, 3))
         self.nodes[3].answer = ClientReply(status=203)
         without_answer: list[Outcome] = []
         self.caller.call(StatusRequest(), 60.0, without_answer.append)
         self.world.run_for(0.1)
-        self.call(patience=50.0)
+        self.call(timeout=50.0)
         self.world.run_for(10.0)
         self.assertEqual(self.outcomes, [Outcome(ClientReply(status=203), may_have_run=False)])
         self.assertEqual(without_answer, [])
 
     def test_one_lost_answer_does_not_start_a_search(self) -> None:
         self.membership.offer_view(view_of(1, 3))
-        self.silence(3)
+        self.stop_answering(3)
         self.call()
         self.world.run_for(0.2)
         self.nodes[3].answer = ClientReply(status=203)
@@ -648,7 +650,7 @@
         self.assertEqual(self.asked(), [0, 0, 0, 3, 0])
 
     def test_the_local_handler_answers_where_this_node_is_primary(self) -> None:
-        node = Node(self.process)
+        node = ScriptedNode(self.process)
         node.answer = ClientReply(status=250)
         view = view_of(1, 3)
         view.members.append(Member(name="me", address="10.0.0.50:7660"))
@@ -664,8 +666,8 @@
         )
         self.assertEqual(self.call_and_wait(), Outcome(ClientReply(status=250), may_have_run=False))
 
-    def test_a_local_handler_that_does_not_answer_is_left(self) -> None:
-        Node(self.process).answer = None
+    def test_a_local_handler_that_does_not_answer_is_abandoned(self) -> None:
+        ScriptedNode(self.process).answer = None
         view = view_of(1, 3)
         view.members.append(Member(name="me", address="10.0.0.50:7660"))
         self.membership.offer_view(replace(view, primary="me"))
