--- a/tests/system/configuration_world.py
+++ b/tests/system/configuration_world.py
@@ -1,4 +1,4 @@
-"""Stand-ins for replication, the calls to the primary and the log, for tests of configuration and ingress."""
+"""Fakes of replication, of calls to the primary and of the log, for tests of configuration and ingress."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 JsonObject = dict[str, Any]
 
 
-class SilentLog(EventLog):
-    """Keeps the events."""
+class RecordingLog(EventLog):
+    """A log that records its events."""
 
     def __init__(self) -> None:
         self.events: list[tuple[str, JsonObject]] = []
@@ -32,23 +32,23 @@
 
 
 def clock_of(world: World) -> VirtualClock:
-    """The clock of a machine in `world` that runs nothing by itself."""
+    """Return the clock of a machine in `world` that runs no program."""
     return world.machine("here").start(lambda process: None).clock
 
 
-class HeldReplicator:
-    """Replicated state whose writes are committed when a test says so."""
+class ManualCommitReplicator:
+    """Replicated state whose writes are committed by explicit calls of the test."""
 
     def __init__(self) -> None:
         self.term = 1
         self.view: View | None = View(epoch=1, term=1, primary="n1")
-        self.leased = True
+        self.holds_lease = True
         self.state: dict[str, bytes] = {}
         self.batches: list[list[Write]] = []
         self._queue: list[tuple[list[Write], Callable[[], None] | None]] = []
 
     def is_primary(self) -> bool:
-        return self.leased
+        return self.holds_lease
 
     def write(self, writes: list[Write], on_committed: Callable[[], None] | None = None) -> None:
         self.batches.append(writes)
@@ -61,18 +61,18 @@
             action()
 
     def commit_one(self) -> None:
-        """Commit the oldest write, and run what waited for it alone."""
+        """Commit the oldest write, and run the actions that wait only for it."""
         self._run_first()
         while self._queue and not self._queue[0][0]:
             self._run_first()
 
     def commit(self) -> None:
-        """Commit all that was written."""
+        """Commit all writes."""
         while self._queue:
             self._run_first()
 
     def lose_writes(self) -> None:
-        """Another primary took over without what is not committed."""
+        """Drop all uncommitted writes, as when another primary takes over without them."""
         self._queue.clear()
 
     def _run_first(self) -> None:
@@ -87,36 +87,36 @@
 
 
 class ScriptedCaller:
-    """Calls to the primary that a test answers, or that `handlers` answer where there are any."""
+    """Calls to the primary that the test answers, or that `handlers` answer if given."""
 
     def __init__(self, handlers: Handlers | None = None) -> None:
         self.handlers = handlers
         self.requests: list[Struct] = []
-        self.patience: list[float] = []
+        self.timeouts: list[float] = []
         self.waiting: list[OutcomeHandler] = []
 
     def call(self, request: Struct, timeout_s: float, on_done: OutcomeHandler) -> None:
         self.requests.append(request)
-        self.patience.append(timeout_s)
+        self.timeouts.append(timeout_s)
         if self.handlers is None:
             self.waiting.append(on_done)
         else:
             self.handlers.call(decode(encode(request)), lambda reply: on_done(_outcome_of(reply)))
 
     def answer(self, reply: Struct | None, may_have_run: bool = False) -> None:
-        """End the oldest call that waits."""
+        """Answer the oldest call in progress."""
         self.waiting.pop(0)(Outcome(reply, may_have_run))
 
 
 def _outcome_of(reply: Struct) -> Outcome:
-    """What the caller makes of an answer that came over the wire."""
+    """Return the outcome that `PrimaryCaller` derives from an answer, after encoding and decoding it."""
     reply = decode(encode(reply))
     return Outcome() if isinstance(reply, NotPrimary) else Outcome(reply)
 
 
 def route(number: int, **fields: object) -> JsonObject:
-    """One route as operators write it."""
-    plain = {
+    """Return one route as operators write it."""
+    defaults = {
         "name": f"r{number}",
         "host": "shop.example",
         "pathPrefix": f"/p{number}/",
@@ -128,27 +128,27 @@
         "maxAttempts": 2,
         "stretch": 1.5,
     }
-    return plain | fields
+    return defaults | fields
 
 
 def service(name: str = "s1", **fields: object) -> JsonObject:
-    """One service as operators write it."""
+    """Return one service as operators write it."""
     return {"name": name, "healthPath": "/health", "maxConnections": 64, "tls": False, "preconditions": False} | fields
 
 
-def whole(version: object, *routes: JsonObject, **fields: object) -> bytes:
-    """A whole configuration."""
-    plain: JsonObject = {"version": version, "routes": list(routes), "services": [service()], "limits": {}}
-    return json.dumps(plain | fields).encode()
+def full_configuration(version: object, *routes: JsonObject, **fields: object) -> bytes:
+    """Return the JSON of a full configuration."""
+    defaults: JsonObject = {"version": version, "routes": list(routes), "services": [service()], "limits": {}}
+    return json.dumps(defaults | fields).encode()
 
 
 def change(version: object, **fields: object) -> bytes:
-    """A change of some items."""
+    """Return the JSON of a change."""
     return json.dumps({"version": version} | fields).encode()
 
 
 class Answers:
-    """Collects replies to operators' calls."""
+    """Sends operators' calls and collects the replies."""
 
     def __init__(self, send: Callable[[OperatorCall, Callable[[Struct], None]], None]) -> None:
         self._send = send
@@ -168,17 +168,17 @@
 
     @property
     def operator_replies(self) -> list[OperatorReply]:
-        """The answers so far that are of the primary."""
+        """The replies so far that were sent as primary."""
         return [reply for reply in self.replies if isinstance(reply, OperatorReply)]
 
     @property
     def statuses(self) -> list[int]:
-        """The statuses so far; 0 for `NotPrimary`."""
+        """The statuses of the replies so far; 0 for `NotPrimary`."""
         return [reply.status if isinstance(reply, OperatorReply) else 0 for reply in self.replies]
 
     @property
     def last(self) -> JsonObject:
-        """The last answer's JSON."""
+        """The decoded JSON of the last reply."""
         reply = self.replies[-1]
         assert isinstance(reply, OperatorReply), reply
         decoded = json.loads(reply.body)
--- a/tests/system/fault_schedule.py
+++ b/tests/system/fault_schedule.py
@@ -1,4 +1,4 @@
-"""Random faults within the tolerance, one history for each seed."""
+"""Random faults within the fault tolerance; each seed gives one schedule."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from tests.system.replica_cluster import Client, Cluster, Invariants
 
-CATCH_UP_SECONDS = 4.0  # a machine counts as lost until then after it is back
+CATCH_UP_SECONDS = 4.0  # after its return, a machine counts as lost for this long
 SIZES = ((3, 1), (3, 1), (4, 1), (5, 2), (8, 2))
 RECOVERY_SECONDS = 12.0
 
 
 class FaultSchedule:
-    """Plays faults on a cluster that a client writes to, and checks what must hold."""
+    """Injects faults into a cluster that a client writes to, and checks its invariants."""
 
     def __init__(self, seed: int, seconds: float = 25.0, printing: bool = False) -> None:
         self.random = Random(seed)
@@ -30,63 +30,63 @@
         self.invariants = Invariants(self.cluster, self.client)
 
     def run(self) -> None:
-        """Play it all; fails where something does not hold."""
+        """Run the schedule; fails if an invariant is violated."""
         self.cluster.found()
         self.client.run(self.random.choice((0.01, 0.03, 0.1)))
         end = self.world.time + self.seconds
         while self.world.time < end:
             self.world.run_for(self.random.expovariate(1.0))
-            self._one_fault()
+            self._inject_fault()
         if self.random.random() < 0.7:
             self._final_fault()
-        self._heal()
+        self._repair_all()
         self._check_end()
 
-    def _note(self, what: str) -> None:
+    def _trace(self, what: str) -> None:
         if self.printing:
             print(f"{self.world.time:8.3f} ---- {what}")
 
     # ---- faults of single machines
 
-    def _one_fault(self) -> None:
+    def _inject_fault(self) -> None:
         if self.random.random() < 0.08:
-            self._all_at_once()
+            self._fail_all_at_once()
             return
-        sound = [name for name in self.cluster.machines if name not in self.lost | self.replaced]
-        if len(self.lost) >= self.tolerated or not sound:
+        healthy = [name for name in self.cluster.machines if name not in self.lost | self.replaced]
+        if len(self.lost) >= self.tolerated or not healthy:
             return
         primary = self.cluster.primary()
-        name = primary if primary in sound and self.random.random() < 0.4 else self.random.choice(sound)
+        name = primary if primary in healthy and self.random.random() < 0.4 else self.random.choice(healthy)
         assert name is not None
         faults: list[Callable[[str], None]] = [
             self._kill,
-            self._power,
+            self._power_off,
             self._wipe,
             self._freeze,
             self._cut,
             self._cut_one_way,
             self._stall,
-            self._slow,
+            self._slow_disk,
             self._slow_link,
             self._step_down,
             self._replace,
         ]
         fault = self.random.choice(faults)
-        self._note(f"{fault.__name__} {name}")
+        self._trace(f"{fault.__name__} {name}")
         self.lost.add(name)
         fault(name)
 
-    def _back(self, name: str, after: float, mend: Callable[[], None]) -> None:
-        """Mend it later; it counts as lost a while longer."""
+    def _repair_later(self, name: str, after: float, repair: Callable[[], None]) -> None:
+        """Repair the machine after `after` seconds; it counts as lost for `CATCH_UP_SECONDS` longer."""
 
-        def back() -> None:
-            self._note(f"mend {name}")
-            mend()
+        def repaired() -> None:
+            self._trace(f"repair {name}")
+            repair()
             self.world.after(CATCH_UP_SECONDS, lambda: self.lost.discard(name))
 
-        self.world.after(after, back)
+        self.world.after(after, repaired)
 
-    def _span(self) -> float:
+    def _fault_duration(self) -> float:
         return self.random.choice((0.1, 0.5, 1.0, 2.0, 4.0)) * self.random.uniform(0.5, 1.5)
 
     def _restart(self, name: str) -> Callable[[], None]:
@@ -98,24 +98,24 @@
 
     def _kill(self, name: str) -> None:
         self.cluster.machines[name].kill()
-        self._back(name, self._span(), self._restart(name))
+        self._repair_later(name, self._fault_duration(), self._restart(name))
 
-    def _power(self, name: str) -> None:
+    def _power_off(self, name: str) -> None:
         self.cluster.machines[name].power_off()
-        self._back(name, self._span(), self._restart(name))
+        self._repair_later(name, self._fault_duration(), self._restart(name))
 
     def _wipe(self, name: str) -> None:
         self.cluster.machines[name].wipe()
-        self._back(name, self._span(), self._restart(name))
+        self._repair_later(name, self._fault_duration(), self._restart(name))
 
     def _freeze(self, name: str) -> None:
         machine = self.cluster.machines[name]
         machine.freeze()
-        self._back(name, self._span(), machine.thaw)
+        self._repair_later(name, self._fault_duration(), machine.thaw)
 
     def _cut(self, name: str) -> None:
         self.world.network.isolate(name)
-        self._back(name, self._span(), lambda: self._join(name))
+        self._repair_later(name, self._fault_duration(), lambda: self._join(name))
 
     def _cut_one_way(self, name: str) -> None:
         others = [other for other in self.cluster.machines if other != name]
@@ -124,7 +124,7 @@
         for other in chosen:
             pair = (other, name) if inward else (name, other)
             self.world.network.cut(*pair, both=False)
-        self._back(name, self._span(), lambda: self._join(name))
+        self._repair_later(name, self._fault_duration(), lambda: self._join(name))
 
     def _join(self, name: str) -> None:
         for other in self.cluster.machines:
@@ -134,16 +134,16 @@
     def _stall(self, name: str) -> None:
         disk = self.cluster.machines[name].disk
         disk.stall()
-        self._back(name, self._span(), disk.resume)
+        self._repair_later(name, self._fault_duration(), disk.resume)
 
-    def _slow(self, name: str) -> None:
+    def _slow_disk(self, name: str) -> None:
         disk = self.cluster.machines[name].disk
         disk.sync_seconds = self.random.choice((0.05, 0.3, 1.0))
 
-        def mend() -> None:
+        def repair() -> None:
             disk.sync_seconds = 0.002
 
-        self._back(name, self._span(), mend)
+        self._repair_later(name, self._fault_duration(), repair)
 
     def _slow_link(self, name: str) -> None:
         delays = self.world.network.extra_delay
@@ -151,11 +151,11 @@
         for pair in pairs:
             delays[pair] = self.random.uniform(0.0, 0.5)
 
-        def mend() -> None:
+        def repair() -> None:
             for pair in pairs:
                 delays.pop(pair, None)
 
-        self._back(name, self._span(), mend)
+        self._repair_later(name, self._fault_duration(), repair)
 
     def _step_down(self, name: str) -> None:
         machine = self.cluster.machines[name]
@@ -170,30 +170,30 @@
                 machine.kill()
 
         self.world.after(1.0, end)
-        self._back(name, 2.0, self._restart(name))
+        self._repair_later(name, 2.0, self._restart(name))
 
     def _replace(self, name: str) -> None:
-        """The machine goes for good; one at another address takes its place."""
+        """Remove the machine for good and replace it by one at another address."""
         machine = self.cluster.machines[name]
         machine.wipe()
         self.replaced.add(name)
         self.spares += 1
         spare = f"s{self.spares}"
 
-        def come() -> None:
-            self._note(f"spare {spare}")
+        def add_spare() -> None:
+            self._trace(f"spare {spare}")
             self.cluster.add(spare, machine.zone)
             self.cluster.start(spare)
             self.cluster.forget(name)
 
-        self._back(name, self._span(), come)
+        self._repair_later(name, self._fault_duration(), add_spare)
 
-    # ---- faults of all
+    # ---- faults of all machines
 
-    def _all_at_once(self) -> None:
-        """All are killed, or lose power, at the same moment, and come back within a second."""
+    def _fail_all_at_once(self) -> None:
+        """Kill or power off all machines at once; they restart within a second."""
         power = self.random.random() < 0.5
-        self._note("all lose power" if power else "all killed")
+        self._trace("all lose power" if power else "all killed")
         for name, machine in self.cluster.machines.items():
             if machine.process is None or name in self.replaced:
                 continue
@@ -205,22 +205,22 @@
         self.world.run_for(5.0)
 
     def _final_fault(self) -> None:
-        """Right after an acknowledgement some lose their disks, all others lose power."""
+        """Right after an acknowledgement, wipe the disks of some machines and power off all others."""
         before = len(self.client.acks)
         self.world.run_while(lambda: len(self.client.acks) == before, 5.0)
-        sound = [name for name in self.cluster.machines if name not in self.lost | self.replaced]
-        wiped = self.random.sample(sound, min(len(sound), max(0, self.tolerated - len(self.lost))))
-        self._note(f"final fault, wiped {wiped}")
+        healthy = [name for name in self.cluster.machines if name not in self.lost | self.replaced]
+        wiped = self.random.sample(healthy, min(len(healthy), max(0, self.tolerated - len(self.lost))))
+        self._trace(f"final fault, wiped {wiped}")
         for name, machine in self.cluster.machines.items():
             if name in wiped:
                 machine.wipe()
             elif name not in self.replaced:
                 machine.power_off()
 
-    # ---- the end
+    # ---- end of the schedule
 
-    def _heal(self) -> None:
-        self._note("heal")
+    def _repair_all(self) -> None:
+        self._trace("heal")
         self.world.network.join_all()
         self.world.network.extra_delay.clear()
         for name, machine in self.cluster.machines.items():
--- a/tests/system/test_control_orders.py
+++ b/tests/system/test_control_orders.py
@@ -1,4 +1,4 @@
-"""Orders under loss, repeats and changes of primary; hundreds of changes past a member that was off."""
+"""Operators' changes with lost answers, repeats and fail-overs; hundreds of changes while a member is off."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def with_three_members() -> Day:
-    """The first day of such a deployment."""
+    """Return the first simulated day whose deployment has three voting members."""
     return next(day for day in map(Day, range(100)) if len(day.deployment.counted) == 3)
 
 
-class Races(unittest.TestCase):
-    """Two orders on one version at two machines, while the primary dies or is cut off."""
+class ConcurrentChangesTest(unittest.TestCase):
+    """Two changes of the same version sent to two machines, while the primary dies or is cut off."""
 
-    def test_one_of_two_wins_whatever_happens(self) -> None:
+    def test_at_most_one_of_two_changes_wins_despite_faults(self) -> None:
         random = Random(11)
         day = Day(5)
         day.operators.stopped = True
@@ -37,11 +37,11 @@
             base = operator.read()
             orders = [self._order(day, base, number, which) for which in range(2)]
             open_orders = [self._send(day, random, order, operations) for order in orders]
-            self._strike(day, random)
+            self._inject_fault(day, random)
             day.world.run_while(lambda waiting=open_orders: not all(waiting), 25.0)  # type: ignore[misc]
-            taken = [order.acknowledged_at < float("inf") for order in orders]
-            self.assertLess(sum(taken), 2, f"race {number}: both were acknowledged")
-            won["first" if taken[0] else "second" if taken[1] else "neither"] += 1
+            acknowledged = [order.acknowledged_at < float("inf") for order in orders]
+            self.assertLess(sum(acknowledged), 2, f"race {number}: both were acknowledged")
+            won["first" if acknowledged[0] else "second" if acknowledged[1] else "neither"] += 1
             reply = operator.send_until_clear("GET", "", b"")
             operations.append(_read_of(json.loads(reply.body), reply))
             day.world.run_for(4.0)
@@ -50,13 +50,13 @@
         self.assertGreater(won["second"], RACES // 8)
 
     def _order(self, day: Day, base: int, number: int, which: int) -> Order:
-        """Both bring the same number, and differ in a route."""
+        """Return one of two changes with the same version number that differ in a route."""
         probes = frozenset([f"p{2 * number + which + 1}"])
         document = day.operators._document(base + 2, probes)
         return Order("PUT", base, base + 2, json.dumps(document).encode(), False, probes, document)
 
     def _send(self, day: Day, random: Random, order: Order, operations: list[history.Operation]) -> list[Reply]:
-        """Send until it is answered clearly; the list then holds that answer."""
+        """Send a change until the answer is definite; that answer is then appended to the returned list."""
         ended: list[Reply] = []
 
         def answered(reply: Reply) -> None:
@@ -76,8 +76,8 @@
         again()
         return ended
 
-    def _strike(self, day: Day, random: Random) -> None:
-        """Something befalls the primary within some milliseconds."""
+    def _inject_fault(self, day: Day, random: Random) -> None:
+        """Inject a random fault at the primary within 30 ms."""
         name = day.site.primary()
         assert name is not None
         machine = day.world.machines[name]
@@ -94,10 +94,10 @@
             day.world.after(random.uniform(1.0, 5.0), machine.thaw)
 
 
-class Hundreds(unittest.TestCase):
-    """Five hundred changes past members that are off."""
+class ManyChangesTest(unittest.TestCase):
+    """Five hundred changes while voting members are off."""
 
-    def test_repeats_and_members_that_were_off(self) -> None:
+    def test_repeated_changes_and_members_that_were_off(self) -> None:
         day = with_three_members()
         day.operators.stopped = True
         day.outside.lost_answers = 0.0
@@ -124,7 +124,7 @@
         site.restart(wiped)
         world.run_for(5.0)
         last = next(name for name in day.deployment.counted if name not in (off, wiped))
-        world.machines[last].power_off()  # those that are left got what they hold by catching up
+        world.machines[last].power_off()  # the remaining members have their state only from catching up
         world.run_for(5.0)
         self.assertIn(site.primary(), (off, wiped))
         self.assertEqual(version, operator.read())
@@ -132,15 +132,15 @@
         self.assertEqual(version, operator.read())
 
     def _repeat(self, day: Day, operator: Operator, sent: list[tuple[int, bytes]]) -> None:
-        """Orders of long ago, sent again to each machine, are acknowledged again and change nothing."""
+        """Send old requests again to each machine: they are acknowledged again and change nothing."""
         for index in (-1, -2, -11, 0):
             built_on, body = sent[index]
             for node in day.deployment.edges:
                 if day.world.machines[node].running:
                     reply = operator.send(node, "PUT", str(built_on), body)
-                    self.assertEqual(200, reply.status, f"order {index} at {node}: {reply.body!r}")
+                    self.assertEqual(200, reply.status, f"request {index} at {node}: {reply.body!r}")
 
-    def test_the_same_bytes_in_another_order_of_keys_are_another_order(self) -> None:
+    def test_the_same_document_with_reordered_keys_is_another_request(self) -> None:
         day = with_three_members()
         day.operators.stopped = True
         day.outside.lost_answers = 0.0
@@ -149,9 +149,9 @@
         base = operator.read()
         document = day.operators._document(base + 1, frozenset(["p1"]))
         plain = json.dumps(document).encode()
-        turned = json.dumps(dict(reversed(document.items()))).encode()
+        reordered = json.dumps(dict(reversed(document.items()))).encode()
         self.assertEqual(200, operator.send_until_clear("PUT", str(base), plain).status)
-        self.assertEqual(412, operator.send_until_clear("PUT", str(base), turned).status)
+        self.assertEqual(412, operator.send_until_clear("PUT", str(base), reordered).status)
         self.assertEqual(200, operator.send_until_clear("PUT", str(base), plain).status)
 
 
--- a/tests/system/test_local_admission.py
+++ b/tests/system/test_local_admission.py
@@ -34,7 +34,7 @@
 from pipitledge.scheduling.usage import USAGE_VALID_S
 from pipitledge.scheduling.workers import ServiceRoom
 from pipitledge.wire.messages import ClientReply, PullReply, Update
-from tests.system.configuration_world import ScriptedCaller, SilentLog, clock_of
+from tests.system.configuration_world import RecordingLog, ScriptedCaller, clock_of
 from tests.system.scheduling_cluster import PLAIN, ROUTES, SERVICE, URGENT, Behaviour, Cluster, FakeReplicator, job_id
 from tests.system.virtual import World
 
@@ -67,7 +67,7 @@
     def __init__(self, world: World) -> None:
         self.world = world
         self.caller = TimedCaller(world)
-        self.plane = DataPlane(clock_of(world), self.caller, "n5", SilentLog(), Bounds())
+        self.plane = DataPlane(clock_of(world), self.caller, "n5", RecordingLog(), Bounds())
         self.admission = LocalAdmission(self.plane)
         self.plane.start()
 
--- a/tests/system/test_message_body.py
+++ b/tests/system/test_message_body.py
@@ -18,10 +18,10 @@
 from pipitledge.runtime.transport import Transport
 from pipitledge.wire import codec
 from pipitledge.wire.messages import OperatorCall, OperatorReply
-from tests.system.configuration_world import SilentLog, route, whole
+from tests.system.configuration_world import RecordingLog, full_configuration, route
 from tests.system.runtime_case import LOG, LOOPBACK, PATIENCE, Box
 
-LONG = whole(7, *[route(number) for number in range(500)])
+LONG = full_configuration(7, *[route(number) for number in range(500)])
 LARGEST = 1 << 20
 
 
@@ -54,7 +54,7 @@
     def setUp(self) -> None:
         handlers = Handlers()
         handlers.on_call(OperatorCall, lambda call, reply: reply(OperatorReply(200, call.body)))
-        self.exchange = InternalExchange(Host(SilentLog()), handlers, SilentLog())
+        self.exchange = InternalExchange(Host(RecordingLog()), handlers, RecordingLog())
 
     def ask(self, body: bytes, **headers: str) -> HttpResponse:
         return self.exchange(HttpRequest("POST", INTERNAL_PATH, headers=headers, body=body))
