--- a/pipitledge/configuration/configuration_service.py
+++ b/pipitledge/configuration/configuration_service.py
@@ -44,9 +44,8 @@
 CONFIGURATION_KEY = "config"
 CHANGE_PREFIX = "change/"
 ORDER_DIGITS = 12  # in the key of a change record, so that the keys sort by order
-CHANGES_KEPT = (
-    2_000  # accepted changes whose repetition is recognised; operators retry a request for seconds, not for days
-)
+# Accepted changes that are recognised if they are repeated; operators retry a request for seconds, not for days.
+CHANGES_KEPT = 2_000
 DIGEST_BYTES = 16
 
 OK, BAD_REQUEST, NOT_FOUND, METHOD_NOT_ALLOWED = 200, 400, 404, 405
@@ -74,9 +73,7 @@
     written: ParsedConfiguration | None = None  # the configuration of the last write, committed or not
     committed: ParsedConfiguration | None = None
     transfers: TransferSource = field(default_factory=lambda: TransferSource(CONFIGURATION_ORIGIN))  # of `committed`
-    changes: OrderedDict[str, ChangeRecord] = field(
-        default_factory=OrderedDict
-    )  # recently accepted changes by digest, oldest first
+    changes: OrderedDict[str, ChangeRecord] = field(default_factory=OrderedDict)  # accepted, by digest, oldest first
     next_order: int = 1
 
     @property
--- a/pipitledge/ingress/redirect.py
+++ b/pipitledge/ingress/redirect.py
@@ -17,7 +17,7 @@
     """
 
     def __init__(self, membership: Membership, my_name: str, control_plane: str, link_mbps: float) -> None:
-        """Create the rule of the node `my_name`; `control_plane` is its "ip:port"; 0 Mbit/s means an unknown link."""
+        """Create the rule of `my_name`, whose address is `control_plane`; with 0 Mbit/s nothing is redirected."""
         self._membership = membership
         self._my_name = my_name
         self._port = control_plane.rpartition(":")[2]
--- a/pipitledge/membership/bootstrap_gate.py
+++ b/pipitledge/membership/bootstrap_gate.py
@@ -27,9 +27,8 @@
     def open(self) -> bool:
         """Return whether bootstrap may be tried now."""
         self._discovered |= {node.address for node in self._membership.nodes()}
-        undiscovered = (
-            set(self._membership.seed_addresses()) - self._discovered
-        )  # `seed_addresses` leaves out this node
+        # `seed_addresses` leaves out this node.
+        undiscovered = set(self._membership.seed_addresses()) - self._discovered
         if not undiscovered:
             return True
         if 2 * len(undiscovered) >= self._seeds:
--- a/pipitledge/membership/membership.py
+++ b/pipitledge/membership/membership.py
@@ -190,7 +190,7 @@
         return oldest.address
 
     def _next_seed_address(self) -> str | None:
-        """Return the seeds in turn; None if there are none."""
+        """Return the next seed, round-robin; None if there are none."""
         if not self._seeds:
             return None
         self._seed_index += 1
--- a/pipitledge/membership/primary_caller.py
+++ b/pipitledge/membership/primary_caller.py
@@ -136,9 +136,8 @@
         self._offer_view(reply)
         if asked != self._primary:
             self._dispatch(call)
-        elif (
-            self._last_answer_at > sent_at
-        ):  # it answered another call since: retry, as only this answer was lost or came too early
+        elif self._last_answer_at > sent_at:
+            # It answered another call since: this answer may have been lost, or sent before it became primary.
             self._retry_later(call)
         else:
             self._prepare_search(asked, answered=reply is not None)
