--- a/pipitledge/configuration/data_plane.py
+++ b/pipitledge/configuration/data_plane.py
@@ -31,7 +31,7 @@
 from pipitledge.wire.messages import DatasetVersion, PartialTransfer, PullReply, PullRequest, Update
 
 PULL_INTERVAL_SECONDS = 0.4  # between pulls; shorter if `PULLS_PER_APPLY` pulls don't fit into config_apply_ms
-PULLS_PER_APPLY = 3.0  # two pulls in a row may be refused; a pull without an answer takes longer than the interval
+PULLS_PER_APPLY = 3.0  # so that two pulls in a row may be refused; one without an answer takes longer
 JITTER = 0.2  # +/- share of the interval, so that nodes that started together don't pull at the same time
 RETRY_INTERVAL_SHARE = 0.25  # of the usual interval, before the retry of a failed pull
 MIN_INTERVAL_SECONDS = 0.05
--- a/pipitledge/membership/relayed_calls.py
+++ b/pipitledge/membership/relayed_calls.py
@@ -56,7 +56,7 @@
     def call(self, address: str, request: Struct, timeout: float, on_reply: ReplyHandler) -> None:
         """Call directly, or through the relay that the receiver used for a recent call to this process."""
         route = self._routes.get(address)
-        if route is not None and self._clock.now() < route.until:
+        if route is not None and self._clock.now() < route.expires_at:
             self.call_via(route.relay, address, request, timeout, on_reply)
         else:
             self._network.call(address, request, timeout, on_reply)
@@ -132,4 +132,4 @@
     """The relay through which a process called last."""
 
     relay: str
-    until: float  # on this process's monotonic clock
+    expires_at: float  # monotonic time of this process
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -173,9 +173,9 @@
             b"{}",
             b'{"version":7}',
             full_configuration(7, routes=7),
-            full_configuration(7, "x"),
+            full_configuration(7, "x"),  # type: ignore[arg-type]
             full_configuration(7, limits=[]),
-        ):  # type: ignore[arg-type]
+        ):
             with self.subTest(body=body[:30]):
                 self.assertRaises(ValueError, checks.parse_accepted, body)
         for body in (b"", b"{", b"[]", change(8, upsert={"routes": [{"name": "r2"}]})):
@@ -288,10 +288,10 @@
 class ConfigurationServiceCase(unittest.TestCase):
     def setUp(self) -> None:
         self.replicator = ManualCommitReplicator()
-        self.configuration_service = self.new_keeper()
+        self.configuration_service = self.new_service()
         self.operator = Answers(self.configuration_service.operator_call)
 
-    def new_keeper(self) -> ConfigurationService:
+    def new_service(self) -> ConfigurationService:
         made = ConfigurationService(self.replicator, RecordingLog())
         made.activated(self.replicator.term, self.replicator.state)
         return made
@@ -300,7 +300,7 @@
         """Make another process primary, with the committed state."""
         self.replicator.lose_writes()
         self.replicator.term += 1
-        self.configuration_service = self.new_keeper()
+        self.configuration_service = self.new_service()
         self.operator = Answers(self.configuration_service.operator_call)
 
     def committed(self, body: bytes, if_match: str) -> None:
--- a/tests/system/test_membership.py
+++ b/tests/system/test_membership.py
@@ -357,7 +357,7 @@
         found = self.view.find("a")
         self.assertEqual(found and found.incarnation, 2)
 
-    def test_a_process_late_in_the_air_does_not_replace_its_newer_self(self) -> None:
+    def test_a_late_message_of_an_older_start_does_not_replace_a_newer_one(self) -> None:
         self.view.record_contact(self.node("a", start=2, incarnation=2), 10.0)
         self.view.record_contact(self.node("a", start=1, incarnation=1), 10.0 + LOST_DISK_SILENCE_S)
         found = self.view.find("a")
