--- a/pipitledge/membership/bootstrap_gate.py
+++ b/pipitledge/membership/bootstrap_gate.py
@@ -1,8 +1,8 @@
 """Decides when a node that takes part in the first start may try to bootstrap the system.
 
-It waits until enough seeds are known. That only avoids attempts that can't succeed and gives late starters time; that
-the system is not bootstrapped twice is ensured by the seeds' agreement on the initial members
-(`replication/initial_members.py`).
+It waits until enough seeds are known. This only avoids attempts that can't succeed and gives late starters time;
+the seeds' agreement on the initial members (`replication/initial_members.py`) ensures that the system is bootstrapped
+only once.
 """
 
 from __future__ import annotations
@@ -27,10 +27,9 @@
     def open(self) -> bool:
         """Return whether bootstrap may be tried now."""
         self._discovered |= {node.address for node in self._membership.nodes()}
-        # `seed_addresses` leaves out this node.
-        undiscovered = set(self._membership.seed_addresses()) - self._discovered
+        undiscovered = set(self._membership.seed_addresses()) - self._discovered  # without this node
         if not undiscovered:
             return True
         if 2 * len(undiscovered) >= self._seeds:
-            return False  # no majority is known: an attempt can't succeed
+            return False  # no majority of the seeds is known: an attempt would fail
         return self._clock.now() >= self._opens_at
