--- a/pipitledge/scheduling/admission.py
+++ b/pipitledge/scheduling/admission.py
@@ -8,7 +8,7 @@
 
 from collections import Counter
 
-from pipitledge.configuration.datasets import PoolFigures, QueueFigures, QueueUsageReport
+from pipitledge.configuration.datasets import PoolUsage, QueueLoad, QueueUsageReport
 from pipitledge.configuration.model import Configuration, Route
 from pipitledge.scheduling.admission_rule import AdmissionDecision, decide, job_weight
 from pipitledge.scheduling.context import Context
@@ -50,7 +50,7 @@
     def usage(self) -> QueueUsageReport:
         """Return the usage and the limits of all queues, without services whose workers are not known yet."""
         self._assign_missing_weights()
-        pools = dict[str, PoolFigures]()
+        pools = dict[str, PoolUsage]()
         for service in self._queues().by_service:
             capacity = self._context.service_capacity(service)
             if not self._workers_unknown(capacity):
@@ -84,19 +84,19 @@
             self._service_queues = ServiceQueues(configuration)
         return self._service_queues
 
-    def _pool(self, service: str, capacity: ServiceCapacity) -> PoolFigures:
+    def _pool(self, service: str, capacity: ServiceCapacity) -> PoolUsage:
         """Return the usage and the limits of a service's queues, and the capacity of its workers."""
         queues = self._queues()
         idle = Counter(queues.by_service.get(service, NO_QUEUES))
         count = idle.total()
-        busy = dict[str, QueueFigures]()
+        busy = dict[str, QueueLoad]()
         for name, inflight in self._context.inflight.items():
             route = queues.route_of_service(name, service)
             slots = round(inflight, SLOT_DECIMALS)
             if route is not None and slots > 0.0:
-                busy[name] = QueueFigures(slots, route.priority)
+                busy[name] = QueueLoad(slots, route.priority)
                 idle[route.priority] -= 1
-        return PoolFigures(
+        return PoolUsage(
             capacity=float(capacity.slots),
             queue_limit=round(QUEUE_LIMIT_FRACTION * capacity.slots, SLOT_DECIMALS),
             queue_reservation=RESERVED_FRACTION * capacity.slots / max(1, count),
--- a/pipitledge/scheduling/admission_rule.py
+++ b/pipitledge/scheduling/admission_rule.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from pipitledge.configuration.datasets import PoolFigures, QueueFigures
+from pipitledge.configuration.datasets import PoolUsage, QueueLoad
 from pipitledge.configuration.model import Route
 from pipitledge.decision.admission import admit
 from pipitledge.scheduling.job import Stage, Submission, critical_paths_s, estimated_durations_s, wave_count
@@ -21,7 +21,7 @@
 MIN_RETRY_AFTER_MS = 200
 MAX_RETRY_AFTER_MS = 1_500
 MIN_CHAIN_S = 1e-3  # avoids a division by zero
-NO_EXTRA_INFLIGHT: Mapping[str, QueueFigures] = {}
+NO_EXTRA_INFLIGHT: Mapping[str, QueueLoad] = {}
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,16 +34,16 @@
 
 
 def decide(
-    pool: PoolFigures,
+    pool: PoolUsage,
     route: Route,
     submission: Submission,
-    extra_inflight: Mapping[str, QueueFigures] = NO_EXTRA_INFLIGHT,
+    extra_inflight: Mapping[str, QueueLoad] = NO_EXTRA_INFLIGHT,
 ) -> AdmissionDecision:
     """Decide on a job submitted to the route's queue.
 
     `extra_inflight`: by queue, admitted work that `pool` does not contain yet.
     """
-    pool = pool.with_more(extra_inflight)
+    pool = pool.with_added_load(extra_inflight)
     weight = job_weight(submission, pool)
     own = pool.busy.get(route.name)
     if own is None or own.inflight <= 0.0:
@@ -61,13 +61,13 @@
     return AdmissionDecision(False, weight, retry_ms)
 
 
-def job_weight(submission: Submission, pool: PoolFigures) -> float:
+def job_weight(submission: Submission, pool: PoolUsage) -> float:
     """Return the slots of a job's widest stage: tasks times share of a worker per task times slots per worker."""
     slots = pool.capacity / pool.workers if pool.workers else 0.0
     return max(stage.count * share_of(stage, pool) * slots for stage in submission.stages)
 
 
-def share_of(stage: Stage, pool: PoolFigures) -> float:
+def share_of(stage: Stage, pool: PoolUsage) -> float:
     """Return the share of the pool's mean worker that a task of the stage takes, of its scarcest resource."""
     share = 0.0
     if pool.cpu:
@@ -85,6 +85,6 @@
     return max(MIN_QUEUE_DEPTH, late_factor * objective_s / max(chain_s, MIN_CHAIN_S))
 
 
-def _waves(submission: Submission, pool: PoolFigures) -> tuple[float, ...]:
+def _waves(submission: Submission, pool: PoolUsage) -> tuple[float, ...]:
     """Return the number of waves in which each stage runs on the pool's workers."""
     return tuple(wave_count(stage, share_of(stage, pool), pool.workers) for stage in submission.stages)
--- a/tests/system/test_local_admission.py
+++ b/tests/system/test_local_admission.py
@@ -15,15 +15,15 @@
 
 from pipitledge.configuration.data_plane import DataPlane
 from pipitledge.configuration.datasets import (
-    PoolFigures,
-    QueueFigures,
+    PoolUsage,
+    QueueLoad,
     QueueUsageReport,
     decode_usage,
     usage_origin,
 )
 from pipitledge.configuration.model import Configuration, Route, Service
 from pipitledge.ingress import local_admission
-from pipitledge.ingress.local_admission import FRESH_SECONDS, LEFT_TO_PRIMARY, LocalAdmission
+from pipitledge.ingress.local_admission import LEFT_TO_PRIMARY, MAX_USAGE_AGE_SECONDS, LocalAdmission
 from pipitledge.membership.primary_caller import OutcomeHandler
 from pipitledge.runtime.settings import Bounds
 from pipitledge.scheduling.admission import WORKER_DISCOVERY_S
@@ -34,7 +34,7 @@
 from pipitledge.scheduling.usage import USAGE_VALID_S
 from pipitledge.scheduling.workers import ServiceCapacity
 from pipitledge.wire.messages import ClientReply, PullReply, Update
-from tests.system.configuration_world import ScriptedCaller, SilentLog, clock_of
+from tests.system.configuration_world import RecordingLog, ScriptedCaller, clock_of
 from tests.system.scheduling_cluster import PLAIN, ROUTES, SERVICE, URGENT, Behaviour, Cluster, FakeReplicator, job_id
 from tests.system.virtual import World
 
@@ -60,9 +60,9 @@
         self.world = world
         self.sent_at = 0.0
 
-    def call(self, request: Struct, patience_s: float, on_done: OutcomeHandler) -> None:
+    def call(self, request: Struct, timeout_s: float, on_done: OutcomeHandler) -> None:
         self.sent_at = self.world.time
-        super().call(request, patience_s, on_done)
+        super().call(request, timeout_s, on_done)
 
 
 class Puller:
@@ -71,7 +71,7 @@
     def __init__(self, world: World) -> None:
         self.world = world
         self.caller = TimedCaller(world)
-        self.plane = DataPlane(clock_of(world), self.caller, "n5", SilentLog(), Bounds())
+        self.plane = DataPlane(clock_of(world), self.caller, "n5", RecordingLog(), Bounds())
         self.admission = LocalAdmission(self.plane)
         self.plane.start()
 
@@ -97,15 +97,15 @@
     def pull(self, version: int = 1, **inflight: float) -> None:
         """Let the node pull the usage of the two queues; each may use 40 slots, of which 8 are reserved for it."""
         busy = {
-            route.name: QueueFigures(inflight[route.name], route.priority) for route in ROUTES if route.name in inflight
+            route.name: QueueLoad(inflight[route.name], route.priority) for route in ROUTES if route.name in inflight
         }
         idle = dict(Counter(route.priority for route in ROUTES if route.name not in inflight))
         limit, reservation = 40.0 / MIN_QUEUE_DEPTH, 8.0 / MIN_QUEUE_DEPTH
-        pool = PoolFigures(20.0, limit, reservation, busy, idle, workers=4, cpu=5_000, memory_mb=8_192, gpu=4)
+        pool = PoolUsage(20.0, limit, reservation, busy, idle, workers=4, cpu=5_000, memory_mb=8_192, gpu=4)
         self.node.pull(1, version, QueueUsageReport({SERVICE: pool}).encode())
 
     def refused(self, slots: int, number: int = 1, route: Route = PLAIN) -> bool:
-        return self.admission.judge(route, job_id(number), job_of(slots)).refused
+        return self.admission.evaluate(route, job_id(number), job_of(slots)).refused
 
 
 class AdmissionStepsTest(NodeCase):
@@ -139,18 +139,18 @@
 
     def test_refusal_contains_a_retry_delay(self) -> None:
         self.pull(plain=100.0)
-        judgement = self.admission.judge(PLAIN, job_id(1), job_of(4))
-        self.assertTrue(judgement.refused)
-        self.assertTrue(MIN_RETRY_AFTER_MS <= judgement.retry_after_ms <= MAX_RETRY_AFTER_MS)
+        local_decision = self.admission.evaluate(PLAIN, job_id(1), job_of(4))
+        self.assertTrue(local_decision.refused)
+        self.assertTrue(MIN_RETRY_AFTER_MS <= local_decision.retry_after_ms <= MAX_RETRY_AFTER_MS)
 
 
 class DoubtTest(NodeCase):
     def test_no_usage_refuses_nothing(self) -> None:
-        self.assertEqual(self.admission.judge(PLAIN, job_id(1), job_of(100)), LEFT_TO_PRIMARY)
+        self.assertEqual(self.admission.evaluate(PLAIN, job_id(1), job_of(100)), LEFT_TO_PRIMARY)
 
     def test_stale_usage_refuses_nothing(self) -> None:
         self.pull(plain=40.0)
-        self.node.world.run_for(FRESH_SECONDS - 0.01)
+        self.node.world.run_for(MAX_USAGE_AGE_SECONDS - 0.01)
         self.assertTrue(self.refused(1, 1))
         self.node.world.run_for(0.02)
         self.assertFalse(self.refused(1, 2))
@@ -163,11 +163,11 @@
     def test_invalid_jobs_are_left_to_the_primary(self) -> None:
         self.pull(plain=40.0)
         for name, body in ((job_id(1), b"{"), (job_id(2), b'{"stages":[]}'), ("x/" + job_id(3), job_of(1))):
-            self.assertEqual(self.admission.judge(PLAIN, name, body), LEFT_TO_PRIMARY)
+            self.assertEqual(self.admission.evaluate(PLAIN, name, body), LEFT_TO_PRIMARY)
 
     def test_job_forwarded_once_is_never_refused(self) -> None:
         self.pull(plain=39.0)
-        accepted = self.admission.judge(PLAIN, job_id(1), job_of(1))
+        accepted = self.admission.evaluate(PLAIN, job_id(1), job_of(1))
         self.admission.accepted(accepted)
         self.assertTrue(self.refused(1, 2))
         self.assertFalse(self.refused(1, 1))
@@ -193,33 +193,33 @@
 class CountTest(NodeCase):
     def test_jobs_admitted_through_this_node_count(self) -> None:
         self.pull(plain=36.0)
-        self.admission.accepted(self.admission.judge(PLAIN, job_id(1), job_of(4)))
+        self.admission.accepted(self.admission.evaluate(PLAIN, job_id(1), job_of(4)))
         self.assertTrue(self.refused(1, 2))
 
     def test_borrowing_of_other_queues_through_this_node_counts(self) -> None:
         self.pull(plain=10.0, urgent=30.0)
-        self.admission.accepted(self.admission.judge(URGENT, job_id(1), job_of(10)))
+        self.admission.accepted(self.admission.evaluate(URGENT, job_id(1), job_of(10)))
         self.assertFalse(self.refused(30, 2))
-        self.admission.accepted(self.admission.judge(PLAIN, job_id(3), job_of(29)))
+        self.admission.accepted(self.admission.evaluate(PLAIN, job_id(3), job_of(29)))
         self.assertTrue(self.refused(2, 4))
 
     def test_locally_admitted_job_counts_only_until_newer_usage_contains_it(self) -> None:
         self.pull(plain=36.0)
-        self.admission.accepted(self.admission.judge(PLAIN, job_id(1), job_of(4)))
+        self.admission.accepted(self.admission.evaluate(PLAIN, job_id(1), job_of(4)))
         self.pull(version=2, plain=38.0)
         self.assertFalse(self.refused(2, 2))
 
     def test_job_does_not_count_if_usage_received_before_its_answer_may_contain_it(self) -> None:
         self.pull(plain=36.0)
-        judgement = self.admission.judge(PLAIN, job_id(1), job_of(4))
+        local_decision = self.admission.evaluate(PLAIN, job_id(1), job_of(4))
         self.pull(version=2, plain=38.0)
-        self.admission.accepted(judgement)
+        self.admission.accepted(local_decision)
         self.assertFalse(self.refused(2, 2))
 
     def test_job_without_usage_at_its_decision_does_not_count(self) -> None:
-        judgement = self.admission.judge(PLAIN, job_id(1), job_of(40))
+        local_decision = self.admission.evaluate(PLAIN, job_id(1), job_of(40))
         self.pull(plain=1.0)
-        self.admission.accepted(judgement)
+        self.admission.accepted(local_decision)
         self.assertFalse(self.refused(30, 2))
 
 
@@ -256,7 +256,7 @@
         pool = self.report().pools[SERVICE]
         self.assertEqual((pool.capacity, pool.workers, pool.cpu), (4.0 * SLOTS_PER_WORKER, 4, 8_000))
         self.assertEqual((pool.queue_limit, pool.queue_reservation), (32.0, 8.0))
-        self.assertEqual(pool.busy, {"plain": QueueFigures(8.0, priority=PLAIN.priority)})
+        self.assertEqual(pool.busy, {"plain": QueueLoad(8.0, priority=PLAIN.priority)})
         self.assertEqual({level: count for level, count in pool.idle.items() if count}, {URGENT.priority: 1})
 
     def test_weight_is_released_when_a_job_ends(self) -> None:
@@ -329,10 +329,10 @@
         assert self.cluster.primary is not None
         self.node.await_pull()
         self.node.pull(self.cluster.term, *self.usage())
-        judgement = self.node.admission.judge(route, job_id(number), json.dumps(body).encode())
-        self.assertIsNotNone(judgement.mark)
+        local_decision = self.node.admission.evaluate(route, job_id(number), json.dumps(body).encode())
+        self.assertIsNotNone(local_decision.usage_revision)
         admitted = self.admits(number, body, route)
-        self.assertEqual(judgement.refused, not admitted, f"job {number}: {judgement}")
+        self.assertEqual(local_decision.refused, not admitted, f"job {number}: {local_decision}")
         return admitted
 
     def test_flood(self) -> None:
@@ -368,7 +368,7 @@
             cpu, memory, gpu = rng.choice([0, 8_000]), rng.choice([0, 16_384]), rng.choice([0, 4])
             stage = Stage(cpu=rng.randint(0, 9_000), memory_limit_mb=rng.randint(0, 20_000), gpu=rng.randint(0, 5))
             capacity = ServiceCapacity(4, 32, ResourceRequest(cpu, memory, gpu))
-            pool = PoolFigures(32.0, workers=4, cpu=cpu, memory_mb=memory, gpu=gpu)
+            pool = PoolUsage(32.0, workers=4, cpu=cpu, memory_mb=memory, gpu=gpu)
             self.assertEqual(share_of(stage, pool), capacity.share_of(resource_request_of(stage)))
 
     def test_ingress_does_not_import_modules_of_the_primary(self) -> None:
--- a/tests/system/whole_system_mutants.py
+++ b/tests/system/whole_system_mutants.py
@@ -12,7 +12,7 @@
 from pipitledge.agent.life import Lives
 from pipitledge.agent.orders import OrderDesk
 from pipitledge.agent.permit import Permit
-from pipitledge.configuration import keeper
+from pipitledge.configuration import configuration_service
 from pipitledge.emulator.cluster.auditor import Breach
 from pipitledge.replication.primary import Primary
 from pipitledge.runtime.handlers import Reply
@@ -113,28 +113,28 @@
 def _duplicates_not_recognized() -> list[Any]:
     """A repeated operator request is not recognized as a duplicate."""
     numbers = itertools.count()
-    return [mock.patch.object(keeper, "_digest", lambda call: f"{next(numbers):032x}")]
+    return [mock.patch.object(configuration_service, "_digest", lambda call: f"{next(numbers):032x}")]
 
 
 def _if_match_ignored() -> list[Any]:
     """Two operator requests based on the same version are both accepted."""
 
-    def judge(self: Any, tenure: Any, call: Any) -> Any:
-        call.if_match = str(tenure.version)
-        return original(self, tenure, call)
+    def judge(self: Any, term_state: Any, call: Any) -> Any:
+        call.if_match = str(term_state.version)
+        return original(self, term_state, call)
 
-    original = keeper.ConfigurationKeeper._judge
-    return [mock.patch.object(keeper.ConfigurationKeeper, "_judge", judge)]
+    original = configuration_service.ConfigurationService._validate
+    return [mock.patch.object(configuration_service.ConfigurationService, "_validate", judge)]
 
 
 def _invalid_accepted() -> list[Any]:
     """A rejected configuration is acknowledged as accepted."""
-    refusal = keeper._refusal
+    refusal = configuration_service._refusal
 
     def acknowledge(status: int, reason: str) -> OperatorReply:
         return OperatorReply(200, b'{"version":1}') if status == 400 else refusal(status, reason)
 
-    return [mock.patch.object(keeper, "_refusal", acknowledge)]
+    return [mock.patch.object(configuration_service, "_refusal", acknowledge)]
 
 
 def _dependencies_ignored() -> list[Any]:
