--- a/pipitledge/agent/orders.py
+++ b/pipitledge/agent/orders.py
@@ -12,43 +12,43 @@
 
 from msgspec import Struct
 
-from pipitledge.agent.holder import Holder, RunKey
-from pipitledge.agent.life import Life, Lives
-from pipitledge.agent.permit import Deadline, Permit
-from pipitledge.agent.worker_line import (
+from pipitledge.agent.lease_grant import Deadline, LeaseGrant
+from pipitledge.agent.lease_manager import LeaseManager, RunKey
+from pipitledge.agent.worker_client import (
     BAD_REQUEST,
     CONFLICT,
     NO_ANSWER,
     OK,
-    OTHER_LIFE,
-    WorkerLine,
+    WRONG_INSTANCE,
+    WorkerClient,
     WorkerReply,
 )
+from pipitledge.agent.worker_instance import InstanceTracker, WorkerInstance
 from pipitledge.agent.worker_messages import START_PATH, STOP_PATH, StartBody, StopBody
 from pipitledge.runtime.ports import Clock, Timer
 from pipitledge.wire.messages import OrderResult, StartOrder, StopOrder
 
-PARALLEL_CALLS = 4
+MAX_PARALLEL_CALLS = 4
 SHORTEST_TIMER_S = 0.001
 LONGEST_TIMEOUT_S = 2.0
-TIMEOUT_GROWTH = 1.5  # of an order's calls, with each that got no answer
-SILENCE_PAUSE_S = 0.01  # before a call is repeated that got no answer
-REFUSAL_PAUSE_S = 0.2  # times the number of refusals so far
-LONGEST_PAUSE_S = 2.0
-FENCED_PAUSE_S = 0.5  # while the primary of the higher term is looked for
-UNREACHED_TRIES = 3  # of a start for which nothing listens at the worker's address
-UNHEALTHY_TRIES = 3
-LEAST_HOLD_S = 0.5  # nothing is started that would lapse sooner
-MOST_SETTLED = 5000  # ends of orders remembered for the case that they are repeated
-
-
-class Outcome:
+TIMEOUT_GROWTH_FACTOR = 1.5  # of an order's calls, with each that got no answer
+TIMEOUT_RETRY_DELAY_S = 0.01  # before a call is repeated that got no answer
+REFUSAL_RETRY_DELAY_S = 0.2  # times the number of refusals so far
+MAX_BACKOFF_S = 2.0
+FENCED_RETRY_DELAY_S = 0.5  # while the primary of the higher term is looked for
+MAX_UNREACHED_ATTEMPTS = 3  # of a start for which nothing listens at the worker's address
+MAX_UNHEALTHY_ATTEMPTS = 3
+MIN_LEASE_S = 0.5  # nothing is started that would lapse sooner
+MAX_COMPLETED_ORDERS = 5000  # ends of orders remembered for the case that they are repeated
+
+
+class OrderOutcome:
     """How an order ended; see `OrderResult`."""
 
     STARTED = "started"
     STOPPED = "stopped"
-    OLD = "old"
-    ROOM = "room"
+    STALE = "old"
+    NO_CAPACITY = "room"
     INVALID = "invalid"
     UNHEALTHY = "unhealthy"
     DRAINING = "draining"
@@ -62,7 +62,7 @@
     STOP = "stop"
 
 
-class Settled(Struct):
+class CompletedOrder(Struct):
     """An order that has ended; told of until a report with it was answered, and again if the order is repeated."""
 
     result: OrderResult
@@ -79,10 +79,10 @@
     start: StartOrder | None = None
     stop_ordered: bool = False
     refusal: str = ""  # of a start that may yet be carried out: it is stopped first
-    unanswered: bool = False  # a start call got no answer, here or in an earlier process of this agent
+    start_unanswered: bool = False  # a start call got no answer, here or in an earlier process of this agent
     start_under_way: bool = False
     stop_under_way: bool = False
-    silences: int = 0  # calls in a row without answer
+    unanswered_calls: int = 0  # calls in a row without answer
     refusals: int = 0  # answers that nothing was done
 
     @property
@@ -97,32 +97,32 @@
 
     def timeout(self, usual: float) -> float:
         """How long the next call may take, where a first one may take the `usual` time."""
-        return min(LONGEST_TIMEOUT_S, usual * TIMEOUT_GROWTH**self.silences)
+        return min(LONGEST_TIMEOUT_S, usual * TIMEOUT_GROWTH_FACTOR**self.unanswered_calls)
 
 
-class OrderDesk:
+class OrderDispatcher:
     """Orders for the present life of the worker, under the present term."""
 
     def __init__(
         self,
         clock: Clock,
-        line: WorkerLine,
-        lives: Lives,
-        permit: Permit,
-        holder: Holder,
+        client: WorkerClient,
+        instances: InstanceTracker,
+        grant: LeaseGrant,
+        leases: LeaseManager,
         on_change: Callable[[bool], None],
     ) -> None:
         """`on_change` is told after each answer, with whether the worker has seen a higher fence."""
         self._clock = clock
-        self._line = line
-        self._lives = lives
-        self._permit = permit
-        self._holder = holder
+        self._client = client
+        self._instances = instances
+        self._grant = grant
+        self._leases = leases
         self._on_change = on_change
         self._fence = 0
         self._open: dict[RunKey, _RunOrders] = {}
-        self._settled: dict[tuple[RunKey, str], Settled] = {}
-        self._news = False
+        self._completed: dict[tuple[RunKey, str], CompletedOrder] = {}
+        self._has_new_results = False
         self._under_way: set[int] = set()
         self._sequence = itertools.count()
         self._timer: Timer | None = None
@@ -131,38 +131,38 @@
     def set_fence(self, term: int) -> None:
         """Begin a new term: the orders of the old one are void, its primary's successor sends its own."""
         self._fence = term
-        self._settled.clear()
+        self._completed.clear()
         self._drop_open()
 
-    def life_over(self) -> None:
+    def instance_ended(self) -> None:
         """The life that the open orders are for is over."""
-        self._settle_all_gone()
+        self._complete_all_as_gone()
         self._drop_open()
 
-    def take(self, instance: str, starts: list[StartOrder], stops: list[StopOrder]) -> None:
+    def receive(self, instance: str, starts: list[StartOrder], stops: list[StopOrder]) -> None:
         """Take orders for the life `instance`; those that are known already change nothing."""
-        life = self._lives.current
-        if not instance or (life is None and not self._lives.is_over(instance)):
+        worker = self._instances.current
+        if not instance or (worker is None and not self._instances.has_ended(instance)):
             return  # the worker is not known yet; the primary repeats its orders
-        gone = life is None or life.instance != instance or life.denied
+        gone = worker is None or worker.instance != instance or worker.replaced
         for stop in stops:
-            self._take_stop(stop, gone)
+            self._receive_stop(stop, gone)
         for start in starts:
-            self._take_start(start, gone)
+            self._receive_start(start, gone)
 
-    def results(self) -> list[Settled]:
+    def results(self) -> list[CompletedOrder]:
         """Ends of orders that no answered report has told of."""
-        return [settled for settled in self._settled.values() if settled.to_report]
+        return [completed for completed in self._completed.values() if completed.to_report]
 
-    def take_news(self) -> bool:
+    def consume_new_results(self) -> bool:
         """Whether an order has ended since this was asked last; one told of again is no news."""
-        news, self._news = self._news, False
+        news, self._has_new_results = self._has_new_results, False
         return news
 
-    def reported(self, told: list[Settled]) -> None:
+    def mark_reported(self, completed_orders: list[CompletedOrder]) -> None:
         """A report that told of these was answered."""
-        for settled in told:
-            settled.to_report = False
+        for completed in completed_orders:
+            completed.to_report = False
 
     def open_orders(self) -> int:
         """How many runs have orders that have not ended."""
@@ -175,12 +175,12 @@
 
     # ---- orders in
 
-    def _take_stop(self, order: StopOrder, gone: bool) -> None:
+    def _receive_stop(self, order: StopOrder, gone: bool) -> None:
         key = (order.task, order.run)
-        if self._tell_again(key, OrderKind.STOP):
+        if self._report_again(key, OrderKind.STOP):
             return
         if gone:
-            self._settle(key, OrderKind.STOP, Outcome.GONE)
+            self._complete(key, OrderKind.STOP, OrderOutcome.GONE)
             return
         run_orders = self._open.get(key)
         if run_orders is None:
@@ -189,60 +189,60 @@
             run_orders.stop_ordered = True
             run_orders.due_at = self._clock.now()
 
-    def _take_start(self, order: StartOrder, gone: bool) -> None:
+    def _receive_start(self, order: StartOrder, gone: bool) -> None:
         key = (order.task, order.run)
-        if key in self._open or self._tell_again(key, OrderKind.START):
+        if key in self._open or self._report_again(key, OrderKind.START):
             return
         if gone:
-            self._settle(key, OrderKind.START, Outcome.GONE)
-        elif self._holder.has_seen(key):
-            self._settle(key, OrderKind.START, Outcome.STARTED, self._holder.next_number())
-        elif (key, OrderKind.STOP) in self._settled:
-            self._settle(key, OrderKind.START, Outcome.OLD, self._holder.next_number())
+            self._complete(key, OrderKind.START, OrderOutcome.GONE)
+        elif self._leases.has_seen(key):
+            self._complete(key, OrderKind.START, OrderOutcome.STARTED, self._leases.next_call_number())
+        elif (key, OrderKind.STOP) in self._completed:
+            self._complete(key, OrderKind.START, OrderOutcome.STALE, self._leases.next_call_number())
         else:
             run_orders = _RunOrders(key, next(self._sequence), self._clock.now(), start=order)
-            run_orders.unanswered = self._holder.earlier_calls_may_arrive()
+            run_orders.start_unanswered = self._leases.earlier_calls_may_arrive()
             self._open[key] = run_orders
 
-    def _tell_again(self, key: RunKey, kind: str) -> bool:
+    def _report_again(self, key: RunKey, kind: str) -> bool:
         """Whether that order has ended; then the next report, whenever it goes, tells of it again."""
-        settled = self._settled.get((key, kind))
-        if settled is None:
+        completed = self._completed.get((key, kind))
+        if completed is None:
             return False
-        if not settled.to_report:
-            self._settled[key, kind] = Settled(settled.result)
+        if not completed.to_report:
+            self._completed[key, kind] = CompletedOrder(completed.result)
         return True
 
     # ---- ends of orders
 
-    def _settle(self, key: RunKey, kind: str, outcome: str, at_hold: int = 0) -> None:
+    def _complete(self, key: RunKey, kind: str, outcome: str, at_hold: int = 0) -> None:
         task, run = key
-        self._settled[key, kind] = Settled(OrderResult(task, run, kind, outcome, at_hold))
-        self._news = True
-        if len(self._settled) > MOST_SETTLED:
-            del self._settled[next(iter(self._settled))]
+        self._completed[key, kind] = CompletedOrder(OrderResult(task, run, kind, outcome, at_hold))
+        self._has_new_results = True
+        if len(self._completed) > MAX_COMPLETED_ORDERS:
+            del self._completed[next(iter(self._completed))]
 
-    def _settle_start(self, run_orders: _RunOrders, outcome: str) -> None:
+    def _complete_start(self, run_orders: _RunOrders, outcome: str) -> None:
         """The start has ended for certain."""
-        self._settle(run_orders.key, OrderKind.START, outcome, self._holder.next_number())
+        self._complete(run_orders.key, OrderKind.START, outcome, self._leases.next_call_number())
         del self._open[run_orders.key]
 
     def _refuse(self, run_orders: _RunOrders, outcome: str) -> None:
         """The start was refused; if an earlier call may yet be carried out, that is prevented first."""
-        if run_orders.unanswered:
+        if run_orders.start_unanswered:
             run_orders.refusal = outcome
             run_orders.refusals = 0
             run_orders.due_at = self._clock.now()
         else:
-            self._settle(run_orders.key, OrderKind.START, outcome)  # it never was: no lists need to confirm that
+            self._complete(run_orders.key, OrderKind.START, outcome)  # it never was: no lists need to confirm that
             del self._open[run_orders.key]
 
-    def _settle_all_gone(self) -> None:
+    def _complete_all_as_gone(self) -> None:
         for run_orders in self._open.values():
             if run_orders.start is not None:
-                self._settle(run_orders.key, OrderKind.START, Outcome.GONE)
+                self._complete(run_orders.key, OrderKind.START, OrderOutcome.GONE)
             if run_orders.stop_ordered:
-                self._settle(run_orders.key, OrderKind.STOP, Outcome.GONE)
+                self._complete(run_orders.key, OrderKind.STOP, OrderOutcome.GONE)
         self._open.clear()
 
     def drop_starts(self) -> None:
@@ -260,38 +260,38 @@
 
     def drive(self) -> None:
         """Send what is due now, stops first, and wake up when the next is."""
-        life = self._lives.current
-        if life is None or self._stopped:
+        worker = self._instances.current
+        if worker is None or self._stopped:
             return
-        if life.denied:
-            self._settle_all_gone()
+        if worker.replaced:
+            self._complete_all_as_gone()
             return
-        if life.draining:
+        if worker.draining:
             self._refuse_unsent_starts()
-        for run_orders in self._due(life):
-            if len(self._under_way) >= PARALLEL_CALLS:
+        for run_orders in self._due(worker):
+            if len(self._under_way) >= MAX_PARALLEL_CALLS:
                 break
-            self._send(life, run_orders)
+            self._send(worker, run_orders)
         now = self._clock.now()
         self._set_timer(min((waiting.due_at for waiting in self._open.values() if waiting.due_at > now), default=None))
 
     def _refuse_unsent_starts(self) -> None:
         """Refuse starts on a draining worker, but for runs that turn out to be there."""
-        if not self._holder.fence_is_shown():
+        if not self._leases.worker_has_fence():
             return  # what runs there isn't known, and starts of an earlier term may yet be carried out
         for run_orders in list(self._open.values()):
             if run_orders.wants_stop or run_orders.start_under_way:
                 continue
-            if self._holder.has_seen(run_orders.key):
-                self._settle_start(run_orders, Outcome.STARTED)
+            if self._leases.has_seen(run_orders.key):
+                self._complete_start(run_orders, OrderOutcome.STARTED)
             else:
-                self._refuse(run_orders, Outcome.DRAINING)
+                self._refuse(run_orders, OrderOutcome.DRAINING)
 
-    def _due(self, life: Life) -> list[_RunOrders]:
+    def _due(self, worker: WorkerInstance) -> list[_RunOrders]:
         now = self._clock.now()
-        if self._holder.gave_up():
+        if self._leases.has_abandoned_worker():
             return []
-        may_start = self._may_start(life)
+        may_start = self._may_start(worker)
         due = [
             waiting
             for waiting in self._open.values()
@@ -299,155 +299,157 @@
         ]
         return sorted(due, key=lambda waiting: (not waiting.wants_stop, waiting.due_at, waiting.sequence))
 
-    def _may_start(self, life: Life) -> bool:
+    def _may_start(self, worker: WorkerInstance) -> bool:
         """Whether the worker has told of itself and of what runs there, stays, answers, and may be held."""
-        known = life.info is not None and self._holder.fence_is_shown()
-        serves = not life.draining and not self._holder.is_silent()
-        return known and serves and self._start_deadline(life) is not None
+        known = worker.info is not None and self._leases.worker_has_fence()
+        serves = not worker.draining and not self._leases.is_silent()
+        return known and serves and self._start_deadline(worker) is not None
 
-    def _start_deadline(self, life: Life) -> Deadline | None:
+    def _start_deadline(self, worker: WorkerInstance) -> Deadline | None:
         """The deadline that a start carries; None while it would be too near."""
-        deadline = self._permit.deadline(life)
-        if deadline is None or deadline.until - self._clock.now() < LEAST_HOLD_S:
+        deadline = self._grant.deadline(worker)
+        if deadline is None or deadline.until - self._clock.now() < MIN_LEASE_S:
             return None
         return deadline
 
-    def _send(self, life: Life, run_orders: _RunOrders) -> None:
+    def _send(self, worker: WorkerInstance, run_orders: _RunOrders) -> None:
         if run_orders.wants_stop:
-            self._send_stop(life, run_orders)
+            self._send_stop(worker, run_orders)
             return
-        if self._holder.has_seen(run_orders.key):
-            self._settle_start(run_orders, Outcome.STARTED)
+        if self._leases.has_seen(run_orders.key):
+            self._complete_start(run_orders, OrderOutcome.STARTED)
             return
-        deadline = self._start_deadline(life)
+        deadline = self._start_deadline(worker)
         if run_orders.start is not None and deadline is not None:
-            self._send_start(life, run_orders, run_orders.start, deadline)
+            self._send_start(worker, run_orders, run_orders.start, deadline)
 
-    def _send_start(self, life: Life, run_orders: _RunOrders, order: StartOrder, deadline: Deadline) -> None:
+    def _send_start(
+        self, worker: WorkerInstance, run_orders: _RunOrders, order: StartOrder, deadline: Deadline
+    ) -> None:
         sent_at = self._clock.now()
-        self._holder.given(deadline.until)
+        self._leases.record_sent_deadline(deadline.until)
         run_orders.start_under_way = True
         body = StartBody(order.task, order.run, order.spec, deadline.worker_ms, self._fence, order.saved)
 
         def answered(reply: WorkerReply) -> None:
             run_orders.start_under_way = False
             if reply.status == OK:
-                self._holder.held(deadline.until, sent_at)
-            self._take_start_reply(run_orders, reply)
+                self._leases.record_confirmed_deadline(deadline.until, sent_at)
+            self._handle_start_reply(run_orders, reply)
 
-        self._call(life, START_PATH, body, run_orders, answered)
+        self._call(worker, START_PATH, body, run_orders, answered)
 
-    def _send_stop(self, life: Life, run_orders: _RunOrders) -> None:
+    def _send_stop(self, worker: WorkerInstance, run_orders: _RunOrders) -> None:
         run_orders.stop_under_way = True
         task, run = run_orders.key
 
         def answered(reply: WorkerReply) -> None:
             run_orders.stop_under_way = False
-            self._take_stop_reply(run_orders, reply)
+            self._handle_stop_reply(run_orders, reply)
 
-        self._call(life, STOP_PATH, StopBody(task, run, self._fence), run_orders, answered)
+        self._call(worker, STOP_PATH, StopBody(task, run, self._fence), run_orders, answered)
 
     def _call(
         self,
-        life: Life,
+        worker: WorkerInstance,
         path: str,
         body: StartBody | StopBody,
         run_orders: _RunOrders,
         answered: Callable[[WorkerReply], None],
     ) -> None:
-        ticket = next(self._sequence)
-        self._under_way.add(ticket)
+        call_id = next(self._sequence)
+        self._under_way.add(call_id)
 
         def on_reply(reply: WorkerReply) -> None:
-            self._under_way.discard(ticket)
+            self._under_way.discard(call_id)
             if self._stopped:
                 return
             if self._open.get(run_orders.key) is run_orders:
                 answered(reply)
             self._on_change(_is_fenced(reply))
 
-        self._line.call(life, path, body, run_orders.timeout(life.answer_times.timeout), on_reply)
+        self._client.call(worker, path, body, run_orders.timeout(worker.response_times.timeout), on_reply)
 
     # ---- answers
 
-    def _take_start_reply(self, run_orders: _RunOrders, reply: WorkerReply) -> None:
+    def _handle_start_reply(self, run_orders: _RunOrders, reply: WorkerReply) -> None:
         if reply.status == NO_ANSWER and not reply.refused:
-            run_orders.unanswered = True
-        if reply.status == OK or (reply.status == NO_ANSWER and run_orders.unanswered):
-            self._holder.expect(run_orders.key)  # if the worker stays silent, it lapses
+            run_orders.start_unanswered = True
+        if reply.status == OK or (reply.status == NO_ANSWER and run_orders.start_unanswered):
+            self._leases.expect_run(run_orders.key)  # if the worker stays silent, it lapses
         if run_orders.wants_stop:
             return  # the stop decides
         if reply.status == OK:
-            self._settle_start(run_orders, Outcome.STARTED)
+            self._complete_start(run_orders, OrderOutcome.STARTED)
         elif reply.status == NO_ANSWER:
-            self._repeat_after_silence(run_orders, reply)
-            if reply.refused and run_orders.silences >= UNREACHED_TRIES:
-                self._refuse(run_orders, Outcome.UNHEALTHY)
+            self._retry_unanswered(run_orders, reply)
+            if reply.refused and run_orders.unanswered_calls >= MAX_UNREACHED_ATTEMPTS:
+                self._refuse(run_orders, OrderOutcome.UNHEALTHY)
         elif reply.status == CONFLICT:
-            self._take_conflict(run_orders, reply)
-        elif reply.status == OTHER_LIFE:
-            self._settle_start(run_orders, Outcome.GONE)
+            self._handle_conflict(run_orders, reply)
+        elif reply.status == WRONG_INSTANCE:
+            self._complete_start(run_orders, OrderOutcome.GONE)
         elif reply.status == BAD_REQUEST:
-            self._refuse(run_orders, Outcome.INVALID)
+            self._refuse(run_orders, OrderOutcome.INVALID)
         else:
-            self._repeat_after_refusal(run_orders)
-            if run_orders.refusals >= UNHEALTHY_TRIES:
-                self._refuse(run_orders, Outcome.UNHEALTHY)
+            self._retry_refused(run_orders)
+            if run_orders.refusals >= MAX_UNHEALTHY_ATTEMPTS:
+                self._refuse(run_orders, OrderOutcome.UNHEALTHY)
 
-    def _take_conflict(self, run_orders: _RunOrders, reply: WorkerReply) -> None:
+    def _handle_conflict(self, run_orders: _RunOrders, reply: WorkerReply) -> None:
         if reply.reason == "old":
-            self._settle_start(run_orders, Outcome.OLD)
-            self._holder.request_look()  # it may be old because it has run
+            self._complete_start(run_orders, OrderOutcome.STALE)
+            self._leases.request_refresh()  # it may be old because it has run
         elif reply.reason == "room":
-            self._refuse(run_orders, Outcome.ROOM)
+            self._refuse(run_orders, OrderOutcome.NO_CAPACITY)
         elif reply.reason == "late":
-            self._repeat_after_refusal(run_orders)
+            self._retry_refused(run_orders)
             run_orders.refusals = 0  # the answer told the worker's clock: the next deadline is in time
         else:
-            run_orders.due_at = self._clock.now() + FENCED_PAUSE_S
+            run_orders.due_at = self._clock.now() + FENCED_RETRY_DELAY_S
 
-    def _take_stop_reply(self, run_orders: _RunOrders, reply: WorkerReply) -> None:
+    def _handle_stop_reply(self, run_orders: _RunOrders, reply: WorkerReply) -> None:
         if reply.status == OK:
-            self._settle_stopped(run_orders)
-        elif reply.status == OTHER_LIFE:
-            self._settle_gone(run_orders)
+            self._complete_stopped(run_orders)
+        elif reply.status == WRONG_INSTANCE:
+            self._complete_as_gone(run_orders)
         elif reply.status == NO_ANSWER:
-            self._holder.expect(run_orders.key)  # if the worker stays silent, it lapses
-            self._repeat_after_silence(run_orders, reply)
+            self._leases.expect_run(run_orders.key)  # if the worker stays silent, it lapses
+            self._retry_unanswered(run_orders, reply)
         elif _is_fenced(reply):
-            run_orders.due_at = self._clock.now() + FENCED_PAUSE_S
+            run_orders.due_at = self._clock.now() + FENCED_RETRY_DELAY_S
         else:
-            self._repeat_after_refusal(run_orders)
+            self._retry_refused(run_orders)
 
-    def _settle_stopped(self, run_orders: _RunOrders) -> None:
+    def _complete_stopped(self, run_orders: _RunOrders) -> None:
         """The worker will end the run if it is there, and never start it any more."""
         key = run_orders.key
-        at_hold = self._holder.next_number()
+        at_hold = self._leases.next_call_number()
         if run_orders.refusal:
-            self._settle(key, OrderKind.START, run_orders.refusal, at_hold)
+            self._complete(key, OrderKind.START, run_orders.refusal, at_hold)
         if run_orders.stop_ordered:
-            self._settle(key, OrderKind.STOP, Outcome.STOPPED, at_hold)
+            self._complete(key, OrderKind.STOP, OrderOutcome.STOPPED, at_hold)
         del self._open[key]
-        if not self._holder.runs(key):
-            self._holder.request_look()  # no end may come that would answer the poll
+        if not self._leases.runs(key):
+            self._leases.request_refresh()  # no end may come that would answer the poll
 
-    def _settle_gone(self, run_orders: _RunOrders) -> None:
+    def _complete_as_gone(self, run_orders: _RunOrders) -> None:
         if run_orders.refusal:
-            self._settle(run_orders.key, OrderKind.START, Outcome.GONE)
+            self._complete(run_orders.key, OrderKind.START, OrderOutcome.GONE)
         if run_orders.stop_ordered:
-            self._settle(run_orders.key, OrderKind.STOP, Outcome.GONE)
+            self._complete(run_orders.key, OrderKind.STOP, OrderOutcome.GONE)
         del self._open[run_orders.key]
 
-    def _repeat_after_silence(self, run_orders: _RunOrders, reply: WorkerReply) -> None:
-        run_orders.silences += 1
-        pause = REFUSAL_PAUSE_S * run_orders.silences if reply.refused else SILENCE_PAUSE_S
-        run_orders.due_at = self._clock.now() + min(LONGEST_PAUSE_S, pause)
+    def _retry_unanswered(self, run_orders: _RunOrders, reply: WorkerReply) -> None:
+        run_orders.unanswered_calls += 1
+        pause = REFUSAL_RETRY_DELAY_S * run_orders.unanswered_calls if reply.refused else TIMEOUT_RETRY_DELAY_S
+        run_orders.due_at = self._clock.now() + min(MAX_BACKOFF_S, pause)
 
-    def _repeat_after_refusal(self, run_orders: _RunOrders) -> None:
-        run_orders.silences = 0
+    def _retry_refused(self, run_orders: _RunOrders) -> None:
+        run_orders.unanswered_calls = 0
         run_orders.refusals += 1
-        pause = REFUSAL_PAUSE_S * run_orders.refusals
-        run_orders.due_at = self._clock.now() + min(LONGEST_PAUSE_S, pause)
+        pause = REFUSAL_RETRY_DELAY_S * run_orders.refusals
+        run_orders.due_at = self._clock.now() + min(MAX_BACKOFF_S, pause)
 
     def _set_timer(self, when: float | None) -> None:
         if self._timer is not None:
--- a/pipitledge/agent/poll_pace.py
+++ b/pipitledge/agent/poll_wait.py
@@ -8,30 +8,30 @@
 
 LONGEST_WAIT_S = 2.0  # a worker waits no longer for an end
 SHORTEST_WAIT_S = 0.2
-USUAL_WEIGHT = 0.25  # of a new sample in the usual time
-PATIENCE = 2.0  # times the usual time that a poll waits
+SAMPLE_WEIGHT = 0.25  # of a new sample in the usual time
+WAIT_FACTOR = 2.0  # times the usual time that a poll waits
 EMPTY_FACTOR = 2.0  # times its wait that a poll without an end counts for
 
 
-class PollPace:
+class PollWaitEstimator:
     """The usual time until a poll is answered by an end, at one life of a worker; all figures in seconds."""
 
     def __init__(self) -> None:
         """Begin with the longest waits."""
-        self._usual_s = LONGEST_WAIT_S / PATIENCE
+        self._typical_s = LONGEST_WAIT_S / WAIT_FACTOR
 
     def ended(self, seconds: float) -> None:
         """A poll was answered by an end after so long."""
-        self._note(seconds)
+        self._add_sample(seconds)
 
     def empty(self, wait_s: float) -> None:
         """A poll waited so long, and no end came."""
-        self._note(EMPTY_FACTOR * wait_s)
+        self._add_sample(EMPTY_FACTOR * wait_s)
 
     @property
     def wait_s(self) -> float:
         """How long the next poll should wait."""
-        return min(LONGEST_WAIT_S, max(SHORTEST_WAIT_S, PATIENCE * self._usual_s))
+        return min(LONGEST_WAIT_S, max(SHORTEST_WAIT_S, WAIT_FACTOR * self._typical_s))
 
-    def _note(self, sample: float) -> None:
-        self._usual_s += USUAL_WEIGHT * (min(sample, LONGEST_WAIT_S) - self._usual_s)
+    def _add_sample(self, sample: float) -> None:
+        self._typical_s += SAMPLE_WEIGHT * (min(sample, LONGEST_WAIT_S) - self._typical_s)
--- a/pipitledge/agent/reporter.py
+++ b/pipitledge/agent/reporter.py
@@ -11,10 +11,10 @@
 from pipitledge.wire.messages import AgentOrders, AgentReport
 
 COALESCE_S = 0.005  # news that come together go in one report
-PATIENCE_S = 1.5
-FIRST_RETRY_S = 0.1
-LONGEST_RETRY_S = 0.5
-RETRY_GROWTH = 2.0
+REPORT_TIMEOUT_S = 1.5
+INITIAL_RETRY_DELAY_S = 0.1
+MAX_RETRY_DELAY_S = 0.5
+RETRY_GROWTH_FACTOR = 2.0
 
 
 class CallOutcome(Protocol):
@@ -53,18 +53,18 @@
         self._due_at: float | None = None
         self._not_before = 0.0
         self._under_way = False
-        self._news = False  # since the report under way was made
+        self._report_requested = False  # since the report under way was made
         self._failures = 0
         self._stopped = False
 
-    def soon(self) -> None:
+    def request_report(self) -> None:
         """There are news."""
         if self._under_way:
-            self._news = True
+            self._report_requested = True
         elif not self._failures or self._due_at is None:
             self._schedule(self._clock.now() + COALESCE_S)
 
-    def hold_back(self, seconds: float) -> None:
+    def postpone(self, seconds: float) -> None:
         """Send none for a while, unless released."""
         self._not_before = self._clock.now() + seconds
         if not self._under_way and self._due_at is not None:
@@ -75,7 +75,7 @@
         """What the next report waited for is there."""
         if self._clock.now() < self._not_before:
             self._not_before = 0.0
-            self.soon()
+            self.request_report()
 
     def stop(self) -> None:
         """Send nothing more."""
@@ -100,9 +100,9 @@
     def _send(self) -> None:
         self._cancel()
         self._under_way = True
-        self._news = False
+        self._report_requested = False
         report = self._build()
-        self._primary.call(report, PATIENCE_S, lambda outcome: self._done(report, outcome))
+        self._primary.call(report, REPORT_TIMEOUT_S, lambda outcome: self._done(report, outcome))
 
     def _done(self, report: AgentReport, outcome: CallOutcome) -> None:
         if self._stopped:
@@ -111,14 +111,14 @@
         orders = outcome.reply
         if isinstance(orders, AgentOrders) and self._on_answer(report, orders):
             self._failures = 0
-            self._plan_next(report)
+            self._schedule_next(report)
         else:
             self._failures += 1
-            pause = min(LONGEST_RETRY_S, FIRST_RETRY_S * RETRY_GROWTH ** (self._failures - 1))
+            pause = min(MAX_RETRY_DELAY_S, INITIAL_RETRY_DELAY_S * RETRY_GROWTH_FACTOR ** (self._failures - 1))
             self._schedule(self._clock.now() + pause)
 
-    def _plan_next(self, report: AgentReport) -> None:
+    def _schedule_next(self, report: AgentReport) -> None:
         now = self._clock.now()
-        if self._news:
+        if self._report_requested:
             self._schedule(now + COALESCE_S)
         self._schedule(max(now + COALESCE_S, report.sent_at + self._interval()))
--- a/pipitledge/agent/worker_line.py
+++ b/pipitledge/agent/worker_client.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Struct
 
-from pipitledge.agent.life import Life
+from pipitledge.agent.worker_instance import WorkerInstance
 from pipitledge.agent.worker_messages import AnswerBody
 from pipitledge.runtime.ports import Clock, WorkerAnswer, WorkerCalls
 
@@ -15,7 +15,7 @@
 OK = 200
 BAD_REQUEST = 400
 CONFLICT = 409
-OTHER_LIFE = 421
+WRONG_INSTANCE = 421
 
 
 class WorkerReply(Struct):
@@ -27,7 +27,7 @@
     body: bytes = b""
 
 
-class WorkerLine:
+class WorkerClient:
     """The way to the worker."""
 
     def __init__(self, clock: Clock, calls: WorkerCalls) -> None:
@@ -37,7 +37,7 @@
 
     def call(
         self,
-        life: Life,
+        worker: WorkerInstance,
         path: str,
         body: Struct,
         timeout: float,
@@ -52,24 +52,24 @@
 
         def answered(answer: WorkerAnswer) -> None:
             if answer.status != NO_ANSWER and not waits:
-                life.answer_times.answered(self._clock.now() - sent_at)
-            on_reply(self._take(life, sent_at, answer))
+                worker.response_times.answered(self._clock.now() - sent_at)
+            on_reply(self._handle_answer(worker, sent_at, answer))
 
-        self._calls.post(path, msgspec.json.encode(body), life.instance, timeout, answered)
+        self._calls.post(path, msgspec.json.encode(body), worker.instance, timeout, answered)
 
-    def _take(self, life: Life, sent_at: float, answer: WorkerAnswer) -> WorkerReply:
+    def _handle_answer(self, worker: WorkerInstance, sent_at: float, answer: WorkerAnswer) -> WorkerReply:
         now = self._clock.now()
         if answer.status == NO_ANSWER:
-            life.call_unanswered(sent_at, now, answer.refused)
+            worker.call_unanswered(sent_at, now, answer.refused)
             return WorkerReply(NO_ANSWER, refused=answer.refused)
-        life.call_answered(now)
-        if answer.status == OTHER_LIFE:
-            life.denied = True
-            return WorkerReply(OTHER_LIFE)
-        told = _read_answer(answer.body)
-        if told.clock_ms is not None:
-            life.clock.note(told.clock_ms, now)
-        return WorkerReply(answer.status, told.reason, body=answer.body)
+        worker.call_answered(now)
+        if answer.status == WRONG_INSTANCE:
+            worker.replaced = True
+            return WorkerReply(WRONG_INSTANCE)
+        common = _read_answer(answer.body)
+        if common.clock_ms is not None:
+            worker.clock.record_reading(common.clock_ms, now)
+        return WorkerReply(answer.status, common.reason, body=answer.body)
 
 
 def _read_answer(body: bytes) -> AnswerBody:
--- a/pipitledge/agent/worker_messages.py
+++ b/pipitledge/agent/worker_messages.py
@@ -11,7 +11,7 @@
 START_PATH = "/pipitledge/run-start"
 STOP_PATH = "/pipitledge/run-stop"
 HOLD_PATH = "/pipitledge/hold"
-LONGEST_ENDS_LIST = 500  # a worker sends at most this many ends in one answer
+MAX_ENDS_PER_ANSWER = 500  # a worker sends at most this many ends in one answer
 
 
 class Capacity(Struct, rename="camel", frozen=True):
--- a/tests/system/agent_worker.py
+++ b/tests/system/agent_worker.py
@@ -50,7 +50,7 @@
 
 
 @dataclass
-class Began:
+class StartedRun:
     """One run that the worker began."""
 
     at: float
@@ -60,14 +60,14 @@
 
 
 @dataclass
-class Missed:
+class LostCall:
     """What is to happen to a call that gets no answer."""
 
     carried_out_after: float | None = None  # seconds; None: never
 
 
 @dataclass
-class Life:
+class InstanceModel:
     """What one life of the worker knows."""
 
     instance: str
@@ -75,7 +75,7 @@
     fence: int = 0
     deadline_ms: float = 0.0
     running: dict[str, Run] = field(default_factory=dict)
-    barred: dict[str, int] = field(default_factory=dict)  # runs up to this never start
+    highest_barred_run: dict[str, int] = field(default_factory=dict)  # runs up to this never start
     ends: list[tuple[int, str, int, str, str]] = field(default_factory=list)
     next_end: int = 1
     waiting: list[Callable[[], None]] = field(default_factory=list)
@@ -96,60 +96,60 @@
         self.agent: Callable[[], Agent | None] = lambda: None
         self.listening = True
         self.heard = True  # heartbeats reach the agent
-        self.dark = False  # calls neither arrive nor are answered
+        self.unreachable = False  # calls neither arrive nor are answered
         self.unhealthy = 0  # so many calls answered with 503
-        self.misses: Callable[[Sent], Missed | None] = lambda sent: None
-        self.forced: Callable[[Sent], str] = lambda sent: ""  # reason of a 409 that is not due
+        self.lose_call: Callable[[Sent], LostCall | None] = lambda sent: None
+        self.forced_refusal: Callable[[Sent], str] = lambda sent: ""  # reason of a 409 that is not due
         self.answer_delay: Callable[[Sent], float] = lambda sent: WIRE_DELAY
         self.sent: list[Sent] = []
-        self.began: list[Began] = []
-        self.lives: list[Life] = []
-        self.life = self._new_life()
-        self._beat()
+        self.started_runs: list[StartedRun] = []
+        self.instance_models: list[InstanceModel] = []
+        self.instance_model = self._new_instance_model()
+        self._schedule_heartbeat()
 
     # ---- its own course
 
-    def _new_life(self) -> Life:
-        life = Life(f"i-{len(self.lives) + 1}", self.world.random.uniform(0, 1e6))
-        self.lives.append(life)
-        return life
+    def _new_instance_model(self) -> InstanceModel:
+        instance_model = InstanceModel(f"i-{len(self.instance_models) + 1}", self.world.random.uniform(0, 1e6))
+        self.instance_models.append(instance_model)
+        return instance_model
 
-    def clock_ms(self, life: Life | None = None) -> float:
-        return (life or self.life).clock_offset_ms + self.world.time * 1000.0 * self.rate
+    def clock_ms(self, instance_model: InstanceModel | None = None) -> float:
+        return (instance_model or self.instance_model).clock_offset_ms + self.world.time * 1000.0 * self.rate
 
-    def time_of(self, life: Life, clock_ms: float) -> float:
+    def time_of(self, instance_model: InstanceModel, clock_ms: float) -> float:
         """Virtual time at which that life's clock shows `clock_ms`."""
-        return (clock_ms - life.clock_offset_ms) / (1000.0 * self.rate)
+        return (clock_ms - instance_model.clock_offset_ms) / (1000.0 * self.rate)
 
-    def _beat(self) -> None:
-        self.world.after(HEARTBEAT_S, self._beat)
+    def _schedule_heartbeat(self) -> None:
+        self.world.after(HEARTBEAT_S, self._schedule_heartbeat)
         if self.listening:
             self.heartbeat()
 
     def heartbeat(self) -> None:
         """Send one heartbeat."""
-        life = self.life
-        life.sequence += 1
-        body = self.account(life)
+        instance_model = self.instance_model
+        instance_model.sequence += 1
+        body = self.heartbeat_body(instance_model)
         if self.heard:
-            self.world.after(WIRE_DELAY, lambda: self.deliver(life, body))
+            self.world.after(WIRE_DELAY, lambda: self.deliver(instance_model, body))
 
-    def account(self, life: Life) -> bytes:
+    def heartbeat_body(self, instance_model: InstanceModel) -> bytes:
         told = {
             "service": "s",
             "address": "10.0.0.9:8080",
-            "state": life.state,
+            "state": instance_model.state,
             "slots": 8,
             "capacity": {"cpu": 16000, "memoryLimitMb": 32768, "gpu": 0},
             "labels": ["a", "r1-3"],
-            "clockMs": int(self.clock_ms(life)),
-            "sequence": life.sequence,
+            "clockMs": int(self.clock_ms(instance_model)),
+            "sequence": instance_model.sequence,
         }
-        if life.state == "draining":
+        if instance_model.state == "draining":
             told["remainingMs"] = 2000
         return json.dumps(told).encode()
 
-    def deliver(self, life: Life, body: bytes) -> None:
+    def deliver(self, instance_model: InstanceModel, body: bytes) -> None:
         """A heartbeat reaches the agent, if there is one."""
         agent = self.agent()
         if agent is None:
@@ -157,63 +157,65 @@
         draining = b'"draining"' in body
 
         def acknowledged(status: int, answer: bytes) -> None:
-            if status == 200 and draining and life.state_acknowledged_at is None:
-                life.state_acknowledged_at = self.world.time
+            if status == 200 and draining and instance_model.state_acknowledged_at is None:
+                instance_model.state_acknowledged_at = self.world.time
 
-        agent.heartbeat(life.instance, body, acknowledged)
+        agent.heartbeat(instance_model.instance, body, acknowledged)
 
     def drain(self) -> None:
         """Announce the end of this life."""
-        self.life.state = "draining"
+        self.instance_model.state = "draining"
         self.heartbeat()
 
     def leave(self) -> None:
         """Say goodbye, and end shortly after."""
         agent = self.agent()
         if agent is not None:
-            agent.leave(self.life.instance, lambda status, body: None)
+            agent.leave(self.instance_model.instance, lambda status, body: None)
         self.world.after(0.05, self.end)
 
     def end(self) -> None:
         """End, or crash: nothing runs any more."""
         self.listening = False
-        self.life.running.clear()
-        self.life.waiting.clear()
+        self.instance_model.running.clear()
+        self.instance_model.waiting.clear()
 
-    def crash(self, back_after: float = 0.5) -> None:
+    def crash(self, restart_after: float = 0.5) -> None:
         """Crash, and come back under a new id."""
         self.end()
-        self.world.after(back_after, self.come_back)
+        self.world.after(restart_after, self.restart)
 
-    def come_back(self) -> None:
-        self.life = self._new_life()
+    def restart(self) -> None:
+        self.instance_model = self._new_instance_model()
         self.listening = True
         self.heartbeat()
 
     def finish(self, task: str, how: str = "done") -> None:
         """A run ends by itself."""
-        self._end_run(self.life, task, how)
+        self._end_run(self.instance_model, task, how)
 
-    def _end_run(self, life: Life, task: str, how: str) -> None:
-        run = life.running.pop(task, None)
-        if run is None or life is not self.life:
+    def _end_run(self, instance_model: InstanceModel, task: str, how: str) -> None:
+        run = instance_model.running.pop(task, None)
+        if run is None or instance_model is not self.instance_model:
             return
-        life.barred[task] = max(life.barred.get(task, 0), run.run)
-        life.ends.append((life.next_end, task, run.run, how, run.saved))
-        life.next_end += 1
-        waiting, life.waiting = life.waiting, []
+        instance_model.highest_barred_run[task] = max(instance_model.highest_barred_run.get(task, 0), run.run)
+        instance_model.ends.append((instance_model.next_end, task, run.run, how, run.saved))
+        instance_model.next_end += 1
+        waiting, instance_model.waiting = instance_model.waiting, []
         for answer in waiting:
             answer()
 
-    def _take_deadline(self, life: Life, deadline_ms: float) -> None:
-        cut = min(deadline_ms, self.clock_ms(life) + self.hold_max_ms)
-        life.deadline_ms = max(life.deadline_ms, cut)
-        self.world.at(self.time_of(life, life.deadline_ms) + 1e-6, lambda: self._lapse(life))
+    def _take_deadline(self, instance_model: InstanceModel, deadline_ms: float) -> None:
+        cut = min(deadline_ms, self.clock_ms(instance_model) + self.hold_max_ms)
+        instance_model.deadline_ms = max(instance_model.deadline_ms, cut)
+        self.world.at(
+            self.time_of(instance_model, instance_model.deadline_ms) + 1e-6, lambda: self._lapse(instance_model)
+        )
 
-    def _lapse(self, life: Life) -> None:
-        if self.clock_ms(life) >= life.deadline_ms:
-            for task in list(life.running):
-                self._end_run(life, task, "lapsed")
+    def _lapse(self, instance_model: InstanceModel) -> None:
+        if self.clock_ms(instance_model) >= instance_model.deadline_ms:
+            for task in list(instance_model.running):
+                self._end_run(instance_model, task, "lapsed")
 
     # ---- calls
 
@@ -221,88 +223,88 @@
         """The port of one life of the agent's process."""
         return ModelCalls(self, process)
 
-    def of_kind(self, kind: str) -> list[Sent]:
+    def calls_of_kind(self, kind: str) -> list[Sent]:
         return [sent for sent in self.sent if sent.kind == kind]
 
     def take(self, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
         """Carry out a call that has arrived."""
-        life = self.life
+        instance_model = self.instance_model
         if not self.listening:
             return
-        if sent.instance and sent.instance != life.instance:
+        if sent.instance and sent.instance != instance_model.instance:
             answer(421, {"clockMs": self.clock_ms()})
             return
         if self.unhealthy and sent.kind != "hold":
             self.unhealthy -= 1
             answer(503, {})
             return
-        if sent.body.get("fenceToken", 0) < life.fence:
+        if sent.body.get("fenceToken", 0) < instance_model.fence:
             answer(409, {"clockMs": int(self.clock_ms()), "reason": "fence"})
             return
-        forced = self.forced(sent)
-        if forced:
-            answer(409, {"clockMs": int(self.clock_ms()), "reason": forced})
+        forced_refusal = self.forced_refusal(sent)
+        if forced_refusal:
+            answer(409, {"clockMs": int(self.clock_ms()), "reason": forced_refusal})
             return
-        life.fence = sent.body["fenceToken"]
-        {"run-start": self._start, "run-stop": self._stop, "hold": self._hold}[sent.kind](life, sent, answer)
+        instance_model.fence = sent.body["fenceToken"]
+        {"run-start": self._start, "run-stop": self._stop, "hold": self._hold}[sent.kind](instance_model, sent, answer)
 
-    def _start(self, life: Life, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
+    def _start(self, instance_model: InstanceModel, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
         task, run = sent.body["task"], sent.body["runId"]
         if not sent.body["spec"]:
             answer(400, {"clockMs": int(self.clock_ms())})
             return
-        refusal = self._refusal(life, task, run, sent.body["deadlineMs"])
+        refusal = self._refusal(instance_model, task, run, sent.body["deadlineMs"])
         if refusal != "late":
-            self._take_deadline(life, sent.body["deadlineMs"])
+            self._take_deadline(instance_model, sent.body["deadlineMs"])
         if refusal:
             answer(409, {"clockMs": int(self.clock_ms()), "reason": refusal})
             return
-        if task not in life.running:
-            life.running[task] = Run(task, run)
-            self.began.append(Began(self.world.time, life.instance, task, run))
+        if task not in instance_model.running:
+            instance_model.running[task] = Run(task, run)
+            self.started_runs.append(StartedRun(self.world.time, instance_model.instance, task, run))
         answer(200, {"clockMs": int(self.clock_ms())})
 
-    def _refusal(self, life: Life, task: str, run: int, deadline_ms: float) -> str:
-        there = life.running.get(task)
+    def _refusal(self, instance_model: InstanceModel, task: str, run: int, deadline_ms: float) -> str:
+        there = instance_model.running.get(task)
         if there is not None and there.run == run:
             return ""
-        if deadline_ms <= self.clock_ms(life):
+        if deadline_ms <= self.clock_ms(instance_model):
             return "late"
-        if run <= life.barred.get(task, 0) or there is not None:
+        if run <= instance_model.highest_barred_run.get(task, 0) or there is not None:
             return "old"
-        return "room" if len(life.running) >= self.capacity else ""
+        return "room" if len(instance_model.running) >= self.capacity else ""
 
-    def _stop(self, life: Life, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
+    def _stop(self, instance_model: InstanceModel, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
         task, run = sent.body["task"], sent.body["runId"]
-        life.barred[task] = max(life.barred.get(task, 0), run)
-        there = life.running.get(task)
+        instance_model.highest_barred_run[task] = max(instance_model.highest_barred_run.get(task, 0), run)
+        there = instance_model.running.get(task)
         if there is not None and there.run == run and not there.stopping:
             there.stopping = True
-            self.world.after(self.stop_s, lambda: self._end_run(life, task, "stopped"))
+            self.world.after(self.stop_s, lambda: self._end_run(instance_model, task, "stopped"))
         answer(200, {"clockMs": int(self.clock_ms())})
 
-    def _hold(self, life: Life, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
-        life.ends = [end for end in life.ends if end[0] > sent.body["lastSeen"]]
+    def _hold(self, instance_model: InstanceModel, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
+        instance_model.ends = [end for end in instance_model.ends if end[0] > sent.body["lastSeen"]]
         if "deadlineMs" in sent.body:
-            self._take_deadline(life, sent.body["deadlineMs"])
+            self._take_deadline(instance_model, sent.body["deadlineMs"])
         wait_s = sent.body.get("waitMs", 0) / 1000.0
-        if not wait_s or life.ends:
-            answer(200, self._lists(life))
+        if not wait_s or instance_model.ends:
+            answer(200, self._lists(instance_model))
             return
         answered: list[bool] = []
 
         def now() -> None:
-            if not answered and self.life is life and self.listening:
+            if not answered and self.instance_model is instance_model and self.listening:
                 answered.append(True)
-                answer(200, self._lists(life))
+                answer(200, self._lists(instance_model))
 
-        life.waiting.append(now)
+        instance_model.waiting.append(now)
         self.world.after(wait_s, now)
 
-    def _lists(self, life: Life) -> dict[str, Any]:
-        running = [[run.task, run.run, run.saved, 10] for run in life.running.values()]
-        finished = [list(end) for end in life.ends[:500]]
-        return {"clockMs": int(self.clock_ms(life)), "running": running, "finished": finished}
+    def _lists(self, instance_model: InstanceModel) -> dict[str, Any]:
+        running = [[run.task, run.run, run.saved, 10] for run in instance_model.running.values()]
+        finished = [list(end) for end in instance_model.ends[:500]]
+        return {"clockMs": int(self.clock_ms(instance_model)), "running": running, "finished": finished}
 
 
 class ModelCalls:
@@ -333,13 +335,13 @@
         if not worker.listening:
             world.after(WIRE_DELAY, lambda: end(WorkerAnswer(refused=True)))
             return
-        missed = worker.misses(sent)
-        if worker.dark:
+        loss = worker.lose_call(sent)
+        if worker.unreachable:
             return
-        if missed is None:
+        if loss is None:
             world.after(WIRE_DELAY, lambda: worker.take(sent, answered))
-        elif missed.carried_out_after is not None:
-            world.after(missed.carried_out_after, lambda: worker.take(sent, lambda status, told: None))
+        elif loss.carried_out_after is not None:
+            world.after(loss.carried_out_after, lambda: worker.take(sent, lambda status, told: None))
 
 
 @dataclass
@@ -365,9 +367,9 @@
         self.stops: list[StopOrder] = []
         self.instance = ""
         self.acknowledged: dict[str, int] = {}
-        self.delivered_acknowledged: dict[str, int] = {}
+        self.delivered_acknowledgements: dict[str, int] = {}
         self.most_under_way = 0  # reports of one process at once
-        self.permitted_until = 0.0  # by answers that reached an agent (agent's clock)
+        self.granted_until = 0.0  # by answers that reached an agent (agent's clock)
         self.on_report: Callable[[AgentReport], None] = lambda report: None
 
     @property
@@ -389,7 +391,7 @@
             primary="p",
             address="p:1",
             sent_at=0.0 if report is None else report.sent_at,
-            report_number=self.newest_report() if report is None else report.number,
+            report_number=self.last_report_number() if report is None else report.number,
             grant_ms=0 if report is None else self.grant_ms,
             instance=self.instance,
             acknowledged=self.acknowledged.get(self.instance, 0),
@@ -398,7 +400,7 @@
             view=View(epoch=self.term, term=self.term, primary="p"),
         )
 
-    def newest_report(self) -> int:
+    def last_report_number(self) -> int:
         """Number of the report heard last; orders sent by themselves carry it."""
         return self.reports[-1].number if self.reports else 0
 
@@ -413,11 +415,11 @@
         self.on_report(report)
         return self.orders(report)
 
-    def note_delivered(self, orders: AgentOrders) -> None:
-        known = self.delivered_acknowledged.get(orders.instance, 0)
-        self.delivered_acknowledged[orders.instance] = max(known, orders.acknowledged)
+    def record_delivered(self, orders: AgentOrders) -> None:
+        known = self.delivered_acknowledgements.get(orders.instance, 0)
+        self.delivered_acknowledgements[orders.instance] = max(known, orders.acknowledged)
         if orders.sent_at:
-            self.permitted_until = max(self.permitted_until, orders.sent_at + orders.grant_ms / 1000.0)
+            self.granted_until = max(self.granted_until, orders.sent_at + orders.grant_ms / 1000.0)
 
 
 class ModelPrimaryCalls:
@@ -442,7 +444,7 @@
             done.append(True)
             self._under_way -= 1
             if reply is not None:
-                primary.note_delivered(reply)
+                primary.record_delivered(reply)
             self._process.deliver(lambda: on_done(PrimaryOutcome(reply)))
 
         def arrive() -> None:
@@ -454,7 +456,7 @@
         world.after(CONTROL_DELAY, arrive)
 
 
-class Events:
+class EventRecorder:
     """A log that keeps what is written."""
 
     def __init__(self) -> None:
@@ -467,7 +469,7 @@
         self.events.append((event, fields))
 
 
-class Views:
+class RecordedViews:
     """Membership that keeps the views it is offered."""
 
     def __init__(self) -> None:
@@ -489,8 +491,8 @@
         self.worker.agent = self.running_agent
         self.primary = ModelPrimary(self.world, grant_ms)
         self.bounds = Bounds(hold_max_ms=hold_max_ms)
-        self.log = Events()
-        self.views = Views()
+        self.log = EventRecorder()
+        self.views = RecordedViews()
         self.agent: Agent | None = None
         self._incarnation = 0
 
@@ -525,7 +527,7 @@
         """Send orders to the agent by themselves; its answer comes at once."""
         replies: list[Struct] = []
         message = copied(orders or self.primary.orders())
-        self.primary.note_delivered(message)
+        self.primary.record_delivered(message)
         assert self.machine.process is not None
         self.machine.process.handlers.call(message, replies.append)
         (reply,) = replies
--- a/tests/system/test_agent.py
+++ b/tests/system/test_agent.py
@@ -6,25 +6,25 @@
 import unittest
 from typing import Any
 
-from pipitledge.agent.answer_times import SHORTEST_TIMEOUT_S
+from pipitledge.agent.response_times import SHORTEST_TIMEOUT_S
 from pipitledge.wire.messages import AgentOrders, AgentReport, StartOrder
-from tests.system.agent_worker import HEARTBEAT_S, Missed, Sent, Site
+from tests.system.agent_worker import HEARTBEAT_S, LostCall, Sent, Site
 
 TICK = 0.0005
-NEVER = Missed()
+NEVER = LostCall()
 
 
-def first_calls(kind: str, count: int, missed: Missed) -> Any:
+def first_calls(kind: str, count: int, loss: LostCall) -> Any:
     """Leave the first `count` calls of that kind unanswered."""
     left = [count]
 
-    def misses(sent: Sent) -> Missed | None:
+    def lose_call(sent: Sent) -> LostCall | None:
         if sent.kind != kind or not left[0]:
             return None
         left[0] -= 1
-        return missed
+        return loss
 
-    return misses
+    return lose_call
 
 
 class Heartbeats(unittest.TestCase):
@@ -72,7 +72,7 @@
     def test_a_new_life_is_reported_at_once_and_the_old_one_as_over_until_that_was_answered(self) -> None:
         self.site.settle()
         self.site.primary.reachable = False
-        self.site.worker.crash(back_after=0.2)
+        self.site.worker.crash(restart_after=0.2)
         self.site.run(4.0)
         self.site.primary.reachable = True
         self.site.run(2.1)
@@ -80,13 +80,13 @@
         self.assertEqual(["i-1"], told[0].ended_instances)
         self.assertEqual("i-2", told[0].worker and told[0].worker.instance)
         self.assertEqual(1, len(told))
-        self.site.worker.crash(back_after=0.2)
+        self.site.worker.crash(restart_after=0.2)
         self.site.run(0.22)
         self.assertIn(["i-2"], [report.ended_instances for report in self.site.primary.reports])
 
     def test_a_delayed_heartbeat_of_an_old_life_does_not_bring_it_back(self) -> None:
         self.site.settle()
-        self.site.worker.crash(back_after=0.2)
+        self.site.worker.crash(restart_after=0.2)
         self.site.run(0.5)
         self.beat("i-1", sequence=1000)
         self.site.run(3.0)
@@ -102,9 +102,9 @@
         self.site.worker.finish("a")
         self.site.run(1.0)
         self.site.primary.starts.clear()
-        self.site.worker.crash(back_after=0.2)
+        self.site.worker.crash(restart_after=0.2)
         self.site.run(1.0)
-        hold = self.site.worker.of_kind("hold")[-1]
+        hold = self.site.worker.calls_of_kind("hold")[-1]
         self.assertEqual(("i-2", 5, 0), (hold.instance, hold.body["fenceToken"], hold.body["lastSeen"]))
 
     def test_a_call_answered_by_another_life_stops_all_calls_for_the_old_one(self) -> None:
@@ -113,12 +113,12 @@
         self.site.run(0.5)
         self.site.primary.starts.clear()
         self.site.worker.heard = False
-        self.site.worker.crash(back_after=0.2)
+        self.site.worker.crash(restart_after=0.2)
         self.site.run(3.5)
         self.site.order_start("a")
         self.site.order_start("b")
         self.site.run(1.0)
-        self.assertEqual(["running"], [began.task for began in self.site.worker.began])
+        self.assertEqual(["running"], [started_runs.task for started_runs in self.site.worker.started_runs])
         gone = {task for task, _, _, outcome in self.site.primary.results() if outcome == "gone"}
         self.assertEqual({"a", "b"}, gone)
         calls = len(self.site.worker.sent)
@@ -138,10 +138,10 @@
     def test_no_start_leaves_once_draining_is_acknowledged(self) -> None:
         self.site.worker.drain()
         self.site.run(0.01)
-        self.assertIsNotNone(self.site.worker.life.state_acknowledged_at)
+        self.assertIsNotNone(self.site.worker.instance_model.state_acknowledged_at)
         self.site.order_start("a")
         self.site.run(1.0)
-        self.assertEqual([], self.site.worker.of_kind("run-start"))
+        self.assertEqual([], self.site.worker.calls_of_kind("run-start"))
         self.assertEqual([("a", 1, "start", "draining")], self.site.primary.results())
         self.assertEqual("draining", self.site.primary.last.worker and self.site.primary.last.worker.state)
         self.assertEqual(2000, self.site.primary.last.worker and self.site.primary.last.worker.remaining_ms)
@@ -152,7 +152,7 @@
         self.assertEqual("draining", self.site.primary.last.worker and self.site.primary.last.worker.state)
 
     def test_starts_that_wait_for_their_turn_are_refused_then(self) -> None:
-        self.site.worker.misses = lambda sent: NEVER if sent.kind == "run-start" else None
+        self.site.worker.lose_call = lambda sent: NEVER if sent.kind == "run-start" else None
         for task in "abcdef":
             self.site.order_start(task)
         self.site.run(0.1)
@@ -162,22 +162,22 @@
         self.assertEqual({"e", "f"}, refused)
 
     def test_a_start_that_may_yet_be_carried_out_is_stopped_before_it_is_refused(self) -> None:
-        self.site.worker.misses = first_calls("run-start", 1, Missed(carried_out_after=4.0))
+        self.site.worker.lose_call = first_calls("run-start", 1, LostCall(carried_out_after=4.0))
         self.site.order_start("a")
         self.site.run(0.1)
         self.site.worker.drain()
         self.site.run(6.0)
         self.assertEqual([("a", 1, "start", "draining")], self.site.primary.results())
-        self.assertEqual(1, len(self.site.worker.of_kind("run-start")))
-        self.assertEqual(1, len(self.site.worker.of_kind("run-stop")))
-        self.assertEqual([], self.site.worker.began)
+        self.assertEqual(1, len(self.site.worker.calls_of_kind("run-start")))
+        self.assertEqual(1, len(self.site.worker.calls_of_kind("run-stop")))
+        self.assertEqual([], self.site.worker.started_runs)
 
     def test_a_draining_worker_is_held_until_it_leaves(self) -> None:
         self.site.order_start("a")
         self.site.run(0.5)
         self.site.worker.drain()
         self.site.run(9.0)
-        self.assertIn("a", self.site.worker.life.running)
+        self.assertIn("a", self.site.worker.instance_model.running)
 
     def test_a_life_that_said_goodbye_is_over_once_nothing_listens(self) -> None:
         self.site.order_start("a")
@@ -200,7 +200,7 @@
     def test_a_life_that_said_goodbye_and_goes_dark_is_over_when_its_tasks_have_lapsed(self) -> None:
         self.site.order_start("a")
         self.site.run(0.5)
-        self.site.worker.dark = True
+        self.site.worker.unreachable = True
         assert self.site.agent is not None
         self.site.agent.leave("i-1", lambda status, body: None)
         self.site.run(3.0)
@@ -214,7 +214,7 @@
 
 class Holding(unittest.TestCase):
     def holds(self, site: Site) -> list[Sent]:
-        return site.worker.of_kind("hold")
+        return site.worker.calls_of_kind("hold")
 
     def test_an_idle_worker_is_looked_at_once(self) -> None:
         site = Site()
@@ -230,7 +230,7 @@
                     site.settle()
                     site.order_start("a")
                     site.run(60.0)
-                    self.assertIn("a", site.worker.life.running)
+                    self.assertIn("a", site.worker.instance_model.running)
                     self.assertLess(len(self.holds(site)), most_holds)
 
     def test_a_task_outlives_a_poll_that_gets_no_answer(self) -> None:
@@ -239,16 +239,16 @@
         site.order_start("a")
         lost = [0]
 
-        def misses(sent: Sent) -> Missed | None:
+        def lose_call(sent: Sent) -> LostCall | None:
             if sent.kind == "hold" and sent.body.get("waitMs", 0):
                 lost[0] += 1
                 return NEVER if lost[0] % 2 else None
             return None
 
-        site.worker.misses = misses
+        site.worker.lose_call = lose_call
         site.run(40.0)
         self.assertGreater(lost[0], 8)
-        self.assertIn("a", site.worker.life.running)
+        self.assertIn("a", site.worker.instance_model.running)
 
     def test_a_new_grant_renews_a_short_deadline_beside_the_poll(self) -> None:
         site = Site(rate=1.0)
@@ -258,7 +258,7 @@
         site.run(5.0)  # deadlines can't be moved meanwhile
         site.primary.grant_ms = 6000
         site.run(3.0)
-        self.assertIn("a", site.worker.life.running)
+        self.assertIn("a", site.worker.instance_model.running)
 
     def test_cut_off_from_the_primary_tasks_lapse_by_the_end_of_the_grant(self) -> None:
         site = Site()
@@ -267,13 +267,13 @@
         site.run(3.0)
         site.primary.reachable = False
         site.run(20.0)
-        self.assertEqual([], list(site.worker.life.running))
+        self.assertEqual([], list(site.worker.instance_model.running))
         agent_clock = site.machine.clock_offset
-        life = site.worker.life
+        instance_model = site.worker.instance_model
         for hold in site.worker.sent:
             if "deadlineMs" in hold.body:
-                until = site.worker.time_of(life, hold.body["deadlineMs"]) + agent_clock
-                self.assertLessEqual(until, site.primary.permitted_until + 0.001)
+                until = site.worker.time_of(instance_model, hold.body["deadlineMs"]) + agent_clock
+                self.assertLessEqual(until, site.primary.granted_until + 0.001)
         site.primary.reachable = True
         site.run(3.0)
         ends = [(end.task, end.how) for report in site.primary.reports for end in report.finished]
@@ -325,9 +325,9 @@
     def test_more_ends_than_one_answer_carries_are_all_fetched(self) -> None:
         site = Site()
         site.settle()
-        life = site.worker.life
-        life.ends = [(number, f"t{number}", 1, "done", "") for number in range(1, 1201)]
-        life.next_end = 1201
+        instance_model = site.worker.instance_model
+        instance_model.ends = [(number, f"t{number}", 1, "done", "") for number in range(1, 1201)]
+        instance_model.next_end = 1201
         site.primary.term = 6
         site.run(5.0)
         told = {end.number for report in site.primary.reports for end in report.finished}
@@ -347,12 +347,12 @@
         self.assertNotIn("waitMs", fenced[0].body)
         of_term = [report for report in site.primary.reports if report.term == 8]
         self.assertEqual(8, of_term[0].hold_fence)
-        self.assertEqual(8, site.worker.life.fence)
+        self.assertEqual(8, site.worker.instance_model.fence)
 
     def test_the_first_report_of_a_term_does_not_wait_long_for_a_silent_worker(self) -> None:
         site = Site()
         site.settle()
-        site.worker.dark = True
+        site.worker.unreachable = True
         site.primary.term = 8
         site.push()
         site.run(0.4)
@@ -370,7 +370,7 @@
         site.worker.answer_delay = lambda sent: 0.5 if sent is polled else 0.001
         site.worker.finish("a")  # answers the poll, but the answer is under way for long
         site.primary.term = 8
-        site.worker.life.running["c"] = site.worker.life.running["b"].__class__("c", 1)
+        site.worker.instance_model.running["c"] = site.worker.instance_model.running["b"].__class__("c", 1)
         site.push()
         site.run(0.2)
         newer = site.primary.last
@@ -386,19 +386,19 @@
         site.settle()
         site.order_start("a")
         site.run(1.0)
-        site.worker.dark = True
+        site.worker.unreachable = True
         before = len(site.worker.sent)
         site.run(20.0)
         self.assertGreater(site.primary.last.silent_ms, 14000)
         self.assertLess(len(site.worker.sent) - before, 16)
-        site.worker.dark = False
+        site.worker.unreachable = False
         site.run(4.0)
         self.assertEqual(0, site.primary.last.silent_ms)
 
     def test_silence_is_reported_when_it_begins(self) -> None:
         site = Site()
         site.settle()
-        site.worker.dark = True
+        site.worker.unreachable = True
         site.order_start("a")
         site.run(0.65)
         told = next(
@@ -411,7 +411,7 @@
     def test_a_poll_that_fails_after_a_later_call_was_answered_stops_nothing(self) -> None:
         site = Site()
         site.settle()
-        site.worker.misses = lambda sent: NEVER if sent.body.get("waitMs", 0) else None
+        site.worker.lose_call = lambda sent: NEVER if sent.body.get("waitMs", 0) else None
         site.order_start("a")
         site.run(0.5)
         site.worker.finish("a")
@@ -419,7 +419,7 @@
         site.run(4.0)
         site.order_start("b")
         site.run(0.1)
-        self.assertIn("b", site.worker.life.running)
+        self.assertIn("b", site.worker.instance_model.running)
 
     def test_a_silent_worker_is_given_no_new_deadlines_so_that_its_tasks_lapse_for_certain(self) -> None:
         for dies in (False, True):
@@ -429,7 +429,7 @@
 
                 def check(report: AgentReport, site: Site = site, told: list[int] = running_then) -> None:
                     if report.lapsed_instance:
-                        told.append(len(site.worker.life.running))
+                        told.append(len(site.worker.instance_model.running))
 
                 site.primary.on_report = check
                 site.settle()
@@ -438,7 +438,7 @@
                 if dies:
                     site.worker.end()
                 else:
-                    site.worker.dark = True
+                    site.worker.unreachable = True
                 silent_at = site.world.time
                 site.order_start("b")
                 site.run(12.0)
@@ -450,7 +450,7 @@
                 self.assertEqual("i-1", told[0][1].lapsed_instance)
                 self.assertLess(told[0][0], silent_at + 9.0)
                 self.assertEqual({0}, set(running_then))
-                site.worker.dark = False
+                site.worker.unreachable = False
                 site.run(3.0)
                 self.assertEqual("i-1" if dies else "", site.primary.last.lapsed_instance)
 
@@ -459,22 +459,22 @@
         site.settle()
         site.order_start("a")
         site.run(0.5)
-        site.worker.dark = True
+        site.worker.unreachable = True
         site.run(4.0)
         site.order_start("b")
         site.run(8.0)
         site.primary.starts.clear()
         site.run(1.5)
-        site.worker.dark = False
+        site.worker.unreachable = False
         site.run(3.0)
         lapse = max(report.number for report in site.primary.reports if report.lapsed_instance)
         late = [StartOrder("c", 1, "text")]
         site.push(AgentOrders(term=5, instance="i-1", report_number=lapse - 1, starts=late))
         site.run(1.0)
-        self.assertEqual(["a"], [began.task for began in site.worker.began])
+        self.assertEqual(["a"], [started_runs.task for started_runs in site.worker.started_runs])
         site.push(AgentOrders(term=5, instance="i-1", report_number=lapse, starts=late))
         site.run(1.0)
-        self.assertEqual(["a", "c"], [began.task for began in site.worker.began])
+        self.assertEqual(["a", "c"], [started_runs.task for started_runs in site.worker.started_runs])
 
     def test_a_life_that_is_over_is_told_of_again_to_a_primary_that_takes_it_for_alive(self) -> None:
         site = Site()
@@ -484,7 +484,7 @@
         site.run(6.0)
         self.assertTrue(any("i-1" in report.ended_instances for report in site.primary.reports))
         heard = len(site.primary.reports)
-        site.push(AgentOrders(term=6, instance="i-1", report_number=site.primary.newest_report()))
+        site.push(AgentOrders(term=6, instance="i-1", report_number=site.primary.last_report_number()))
         site.primary.term = 6
         site.run(3.0)
         self.assertTrue(any("i-1" in report.ended_instances for report in site.primary.reports[heard:]))
@@ -499,20 +499,20 @@
         site.push(held_up)
         site.primary.reachable = True
         site.run(3.0)
-        self.assertEqual([], [began.task for began in site.worker.began])
+        self.assertEqual([], [started_runs.task for started_runs in site.worker.started_runs])
 
     def test_orders_waiting_at_an_agent_whose_grant_runs_out_start_nothing_afterwards(self) -> None:
         site = Site()
         site.settle()
-        site.worker.misses = lambda sent: NEVER if sent.kind == "run-start" else None
+        site.worker.lose_call = lambda sent: NEVER if sent.kind == "run-start" else None
         site.order_start("c")
         site.primary.reachable = False
         site.primary.starts.clear()
         site.run(site.primary.grant_ms / 1000.0 + 1.0)
-        site.worker.misses = lambda sent: None
+        site.worker.lose_call = lambda sent: None
         site.primary.reachable = True
         site.run(3.0)
-        self.assertEqual([], [began.task for began in site.worker.began])
+        self.assertEqual([], [started_runs.task for started_runs in site.worker.started_runs])
 
     def test_a_worker_silent_in_all_ways_is_left_alone_until_it_is_heard(self) -> None:
         site = Site()
@@ -520,7 +520,7 @@
         site.order_start("a")
         site.order_start("b")
         site.run(1.0)
-        site.worker.dark = True
+        site.worker.unreachable = True
         site.worker.heard = False
         site.order_stop("b")
         site.primary.reachable = False
@@ -529,7 +529,7 @@
         site.run(30.0)
         self.assertEqual(before, len(site.worker.sent))
         site.primary.reachable = True
-        site.worker.dark = False
+        site.worker.unreachable = False
         site.worker.heard = True
         site.run(3.0)
         self.assertEqual(0, site.primary.last.silent_ms)
@@ -538,14 +538,14 @@
     def test_refused_holds_are_tried_again_slowly(self) -> None:
         site = Site()
         site.settle()
-        site.worker.life.fence = 99
+        site.worker.instance_model.fence = 99
         site.order_start("a")
         site.run(0.5)
         site.primary.term = 6
         before = len(self.holds(site))
         site.run(10.0)
         self.assertLess(len(self.holds(site)) - before, 9)
-        self.assertEqual([], site.worker.began)
+        self.assertEqual([], site.worker.started_runs)
 
 
 class Restart(unittest.TestCase):
@@ -567,7 +567,7 @@
         self.assertNotIn("deadlineMs", site.worker.sent[0].body)
         site.primary.reachable = True
         site.run(1.0)
-        self.assertEqual(["a"], [began.task for began in site.worker.began])
+        self.assertEqual(["a"], [started_runs.task for started_runs in site.worker.started_runs])
 
     def test_tasks_outlive_the_agent_though_no_heartbeat_comes(self) -> None:
         site = Site(rate=1.0)
@@ -581,14 +581,14 @@
         restarted_at = len(site.primary.reports)
         site.start()
         site.run(15.0)
-        self.assertIn("a", site.worker.life.running)
+        self.assertIn("a", site.worker.instance_model.running)
         self.assertIsNone(site.primary.last.worker)
         self.assertEqual((0, []), (site.primary.last.hold_number, site.primary.last.running))
         self.assertIsNone(site.primary.reports[restarted_at].worker)
         site.worker.heard = True
         site.run(2.0)
         self.assertEqual(["a"], [entry.task for entry in site.primary.last.running])
-        self.assertEqual(1, len(site.worker.began))
+        self.assertEqual(1, len(site.worker.started_runs))
 
     def test_the_first_hold_carries_no_deadline_where_the_workers_clock_is_unknown(self) -> None:
         site = Site()
@@ -613,16 +613,16 @@
         site.start()
         site.order_start("a")
         site.run(3.0)
-        self.assertEqual([], site.worker.of_kind("run-start"))
+        self.assertEqual([], site.worker.calls_of_kind("run-start"))
         site.worker.heard = True
         site.run(2.0)
-        self.assertEqual(1, len(site.worker.began))
+        self.assertEqual(1, len(site.worker.started_runs))
 
     def test_a_life_that_only_the_primary_knew_is_over_once_a_newer_one_is_known(self) -> None:
         site = Site()
         site.settle()
         site.kill()
-        site.worker.crash(back_after=0.1)
+        site.worker.crash(restart_after=0.1)
         site.run(0.2)
         site.start()
         site.worker.heartbeat()
--- a/tests/system/test_agent_courses.py
+++ b/tests/system/test_agent_courses.py
@@ -7,23 +7,23 @@
 from typing import Any
 
 from pipitledge.wire.messages import AgentOrders, AgentReport, OrderResult, StartOrder
-from tests.system.agent_worker import Missed, Sent, Site
+from tests.system.agent_worker import LostCall, Sent, Site
 
 TICK = 0.0005
-NEVER = Missed()
+NEVER = LostCall()
 
 
-def first_calls(kind: str, count: int, missed: Missed) -> Any:
+def first_calls(kind: str, count: int, loss: LostCall) -> Any:
     """Leave the first `count` calls of that kind unanswered."""
     left = [count]
 
-    def misses(sent: Sent) -> Missed | None:
+    def lose_call(sent: Sent) -> LostCall | None:
         if sent.kind != kind or not left[0]:
             return None
         left[0] -= 1
-        return missed
+        return loss
 
-    return misses
+    return lose_call
 
 
 class RandomCourse:
@@ -34,18 +34,18 @@
         rate = self.random.choice((0.98, 0.99, 1.0))
         self.site = Site(seed, rate=rate, capacity=self.random.choice((3, 1000)))
         self.site.primary.on_report = self.check_report
-        self.site.worker.misses = self.miss
+        self.site.worker.lose_call = self.choose_loss
         self.problems: list[str] = []
         self.settled: dict[tuple[str, int], str] = {}
         self.impossible: dict[tuple[str, int], str] = {}  # run that must never begin or go on, and its life
-        self.missing = 0.0
+        self.loss_rate = 0.0
         self.count = 0
-        self.sent_seen = 0
+        self.checked_calls = 0
 
-    def miss(self, sent: Sent) -> Missed | None:
-        if self.random.random() >= self.missing:
+    def choose_loss(self, sent: Sent) -> LostCall | None:
+        if self.random.random() >= self.loss_rate:
             return None
-        return Missed(self.random.choice((None, 0.001, self.random.uniform(0.3, 5.0))))
+        return LostCall(self.random.choice((None, 0.001, self.random.uniform(0.3, 5.0))))
 
     def run(self, seconds: float) -> None:
         self.site.start()
@@ -54,7 +54,7 @@
             self.site.run(self.random.uniform(0.01, 0.4))
             self.check_calls()
             self.check_runs()
-        self.heal()
+        self.recover()
 
     def step(self) -> None:
         site, draw = self.site, self.random.random()
@@ -62,13 +62,13 @@
             self.order_start()
         elif draw < 0.42:
             self.order_stop()
-        elif draw < 0.62 and site.worker.life.running:
+        elif draw < 0.62 and site.worker.instance_model.running:
             how = self.random.choice(("done", "failed"))
-            site.worker.finish(self.random.choice(list(site.worker.life.running)), how)
+            site.worker.finish(self.random.choice(list(site.worker.instance_model.running)), how)
         elif draw < 0.64:
-            self.missing = self.random.choice((0.0, 0.2, 0.6))
+            self.loss_rate = self.random.choice((0.0, 0.2, 0.6))
         elif draw < 0.66:
-            site.worker.dark = not site.worker.dark
+            site.worker.unreachable = not site.worker.unreachable
         elif draw < 0.68:
             site.primary.reachable = not site.primary.reachable
         elif draw < 0.69:
@@ -77,8 +77,8 @@
             site.worker.crash(self.random.uniform(0.1, 3.0))
         elif draw < 0.71:
             self.restart()
-        elif draw < 0.72 and site.worker.life.state == "ready":
-            self.end_life()
+        elif draw < 0.72 and site.worker.instance_model.state == "ready":
+            self.drain_and_leave()
         elif draw < 0.73:
             site.worker.unhealthy = self.random.randrange(6)
         elif draw < 0.75:
@@ -91,7 +91,7 @@
 
     def order_stop(self) -> None:
         running = [(order.task, order.run) for order in self.site.primary.starts]
-        running += [(run.task, run.run) for run in self.site.worker.life.running.values()]
+        running += [(run.task, run.run) for run in self.site.worker.instance_model.running.values()]
         if running and self.site.machine.running:
             self.site.order_stop(*self.random.choice(running))
 
@@ -112,22 +112,24 @@
         self.site.run(self.random.uniform(0.1, 2.0))
         self.site.start()
 
-    def end_life(self) -> None:
-        worker, life = self.site.worker, self.site.worker.life
+    def drain_and_leave(self) -> None:
+        worker, instance_model = self.site.worker, self.site.worker.instance_model
 
         def leave() -> None:
-            if worker.life is life and worker.listening:
+            if worker.instance_model is instance_model and worker.listening:
                 worker.leave()
-                self.site.world.after(1.0, lambda: worker.come_back() if worker.life is life else None)
+                self.site.world.after(
+                    1.0, lambda: worker.restart() if worker.instance_model is instance_model else None
+                )
 
         worker.drain()
         self.site.world.after(3.0, leave)
 
     def check_report(self, report: AgentReport) -> None:
         """A primary that drops its orders once their end is certain."""
-        primary, life = self.site.primary, self.site.worker.life
-        if report.lapsed_instance == life.instance and life.running:
-            self.problems.append(f"{list(life.running)} run after the lapse that was told")
+        primary, instance_model = self.site.primary, self.site.worker.instance_model
+        if report.lapsed_instance == instance_model.instance and instance_model.running:
+            self.problems.append(f"{list(instance_model.running)} run after the lapse that was told")
         for result in report.results:
             self.take_result(report, result)
         seen = {(entry.task, entry.run) for entry in [*report.running, *report.finished]}
@@ -150,40 +152,40 @@
             self.impossible[key] = report.worker.instance
 
     def check_runs(self) -> None:
-        life = self.site.worker.life
-        for run in life.running.values():
-            if self.impossible.get((run.task, run.run)) == life.instance:
+        instance_model = self.site.worker.instance_model
+        for run in instance_model.running.values():
+            if self.impossible.get((run.task, run.run)) == instance_model.instance:
                 self.problems.append(f"{run.task} runs though it was said never to")
             if run.task == "forbidden":
                 self.problems.append("an order of an old term was carried out")
 
     def check_calls(self) -> None:
         worker, primary = self.site.worker, self.site.primary
-        lives = {life.instance: life for life in worker.lives}
-        for sent in worker.sent[self.sent_seen :]:
-            life = lives[sent.instance]
+        instance_models = {instance_model.instance: instance_model for instance_model in worker.instance_models}
+        for sent in worker.sent[self.checked_calls :]:
+            instance_model = instance_models[sent.instance]
             if "deadlineMs" in sent.body:
-                until = worker.time_of(life, sent.body["deadlineMs"]) + self.site.machine.clock_offset
-                latest = min(primary.permitted_until, sent.at + self.site.machine.clock_offset + 6.0)
+                until = worker.time_of(instance_model, sent.body["deadlineMs"]) + self.site.machine.clock_offset
+                latest = min(primary.granted_until, sent.at + self.site.machine.clock_offset + 6.0)
                 if until > latest + 0.001:
                     self.problems.append(f"{sent.kind} at {sent.at}: {until - latest} s too long")
-            if sent.body.get("lastSeen", 0) > primary.delivered_acknowledged.get(sent.instance, 0):
+            if sent.body.get("lastSeen", 0) > primary.delivered_acknowledgements.get(sent.instance, 0):
                 self.problems.append(f"lastSeen {sent.body['lastSeen']} is not acknowledged")
-            drained_at = life.state_acknowledged_at
+            drained_at = instance_model.state_acknowledged_at
             if sent.kind == "run-start" and drained_at is not None and sent.at > drained_at + TICK:
                 self.problems.append("a start was sent to a draining worker")
-        self.sent_seen = len(worker.sent)
+        self.checked_calls = len(worker.sent)
 
-    def heal(self) -> None:
+    def recover(self) -> None:
         """End all troubles; then all orders come to their end."""
         worker, primary = self.site.worker, self.site.primary
-        self.missing = 0.0
+        self.loss_rate = 0.0
         worker.unhealthy = 0
-        worker.dark = False
+        worker.unreachable = False
         primary.reachable = True
         self.site.run(12.0)
         if not worker.listening:
-            worker.come_back()
+            worker.restart()
             self.site.run(3.0)
         self.check_calls()
         self.check_runs()
@@ -191,7 +193,7 @@
             self.problems.append(f"{primary.most_under_way} reports were under way at once")
         if primary.starts or primary.stops:
             self.problems.append(f"orders without end: {primary.starts} {primary.stops}")
-        running = {(run.task, run.run) for run in worker.life.running.values()}
+        running = {(run.task, run.run) for run in worker.instance_model.running.values()}
         told = {(entry.task, entry.run) for entry in primary.last.running}
         if running != told:
             self.problems.append(f"runs {running}, told {told}")
@@ -199,13 +201,13 @@
 
 class RandomCourses(unittest.TestCase):
     def test_the_agent_keeps_its_word_in_any_course_of_troubles(self) -> None:
-        began = 0
+        started_runs = 0
         for seed in range(40):
             course = RandomCourse(seed)
             course.run(60.0)
-            began += len(course.site.worker.began)
+            started_runs += len(course.site.worker.started_runs)
             self.assertEqual([], course.problems[:3], f"seed {seed}")
-        self.assertGreater(began, 500)
+        self.assertGreater(started_runs, 500)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_agent_orders.py
+++ b/tests/system/test_agent_orders.py
@@ -6,27 +6,27 @@
 import unittest
 from typing import Any
 
-from pipitledge.agent.answer_times import SHORTEST_TIMEOUT_S
-from pipitledge.agent.orders import SILENCE_PAUSE_S
+from pipitledge.agent.orders import TIMEOUT_RETRY_DELAY_S
+from pipitledge.agent.response_times import SHORTEST_TIMEOUT_S
 from pipitledge.agent.worker_clock import WorkerClock
 from pipitledge.wire.messages import AgentOrders, OrderResult, StartOrder, StopOrder
-from tests.system.agent_worker import Missed, Sent, Site
+from tests.system.agent_worker import LostCall, Sent, Site
 
 TICK = 0.0005
-NEVER = Missed()
+NEVER = LostCall()
 
 
-def first_calls(kind: str, count: int, missed: Missed) -> Any:
+def first_calls(kind: str, count: int, loss: LostCall) -> Any:
     """Leave the first `count` calls of that kind unanswered."""
     left = [count]
 
-    def misses(sent: Sent) -> Missed | None:
+    def lose_call(sent: Sent) -> LostCall | None:
         if sent.kind != kind or not left[0]:
             return None
         left[0] -= 1
-        return missed
+        return loss
 
-    return misses
+    return lose_call
 
 
 class Orders(unittest.TestCase):
@@ -52,7 +52,7 @@
     def test_a_start_carries_all_that_was_ordered_and_is_reported_at_once(self) -> None:
         self.site.order_start("a", 3, saved="00ff")
         self.site.run(0.02)
-        (start,) = self.worker.of_kind("run-start")
+        (start,) = self.worker.calls_of_kind("run-start")
         self.assertEqual("i-1", start.instance)
         self.assertEqual(("a", 3, "text"), (start.body["task"], start.body["runId"], start.body["spec"]))
         self.assertEqual((5, "00ff"), (start.body["fenceToken"], start.body["checkpointed"]))
@@ -61,30 +61,30 @@
         self.assertIn("waitMs", self.worker.sent[-1].body)
 
     def test_a_start_that_gets_no_answer_is_repeated_until_it_does(self) -> None:
-        self.worker.misses = first_calls("run-start", 3, NEVER)
+        self.worker.lose_call = first_calls("run-start", 3, NEVER)
         self.site.order_start("a")
         self.site.run(6.0)
-        times = [start.at for start in self.worker.of_kind("run-start")]
+        times = [start.at for start in self.worker.calls_of_kind("run-start")]
         gaps = [later - earlier for earlier, later in itertools.pairwise(times)]
         self.assertEqual(4, len(times))
-        self.assertAlmostEqual(SHORTEST_TIMEOUT_S + SILENCE_PAUSE_S, gaps[0], places=2)
+        self.assertAlmostEqual(SHORTEST_TIMEOUT_S + TIMEOUT_RETRY_DELAY_S, gaps[0], places=2)
         self.assertEqual(sorted(gaps), gaps)
         self.assertEqual("started", self.outcome("a"))
-        self.assertEqual(1, len(self.worker.began))
+        self.assertEqual(1, len(self.worker.started_runs))
 
     def test_a_start_carried_out_without_answer_is_seen_and_not_carried_out_twice(self) -> None:
-        self.worker.misses = first_calls("run-start", 1, Missed(carried_out_after=0.001))
+        self.worker.lose_call = first_calls("run-start", 1, LostCall(carried_out_after=0.001))
         self.site.order_start("a")
         self.site.run(2.0)
         self.assertEqual("started", self.outcome("a"))
-        self.assertEqual(1, len(self.worker.began))
+        self.assertEqual(1, len(self.worker.started_runs))
 
     def test_an_order_known_already_changes_nothing(self) -> None:
         self.site.order_start("a")
         for _ in range(20):
             self.site.push()
             self.site.run(0.1)
-        self.assertEqual(1, len(self.worker.of_kind("run-start")))
+        self.assertEqual(1, len(self.worker.calls_of_kind("run-start")))
 
     def test_a_start_of_a_run_that_is_there_sends_nothing(self) -> None:
         self.site.order_start("a")
@@ -92,7 +92,7 @@
         self.site.kill()
         self.site.start()
         self.site.run(2.0)
-        self.assertEqual(1, len(self.worker.of_kind("run-start")))
+        self.assertEqual(1, len(self.worker.calls_of_kind("run-start")))
         self.assertEqual("started", self.outcome("a"))
 
     def test_refusals_are_reported_by_their_reason(self) -> None:
@@ -103,8 +103,8 @@
         self.site.order_start("c", spec="")
         self.site.run(0.1)
         self.assertEqual(("room", "invalid"), (self.outcome("b"), self.outcome("c")))
-        self.assertEqual([], self.worker.of_kind("run-stop"))
-        self.worker.life.barred["d"] = 4
+        self.assertEqual([], self.worker.calls_of_kind("run-stop"))
+        self.worker.instance_model.highest_barred_run["d"] = 4
         self.site.order_start("d", 4)
         self.site.run(0.1)
         self.assertEqual("old", self.outcome("d"))
@@ -115,7 +115,7 @@
             with self.subTest(refusal):
                 site = Site()
                 site.settle()
-                site.worker.misses = first_calls("run-start", 1, Missed(carried_out_after=3.0))
+                site.worker.lose_call = first_calls("run-start", 1, LostCall(carried_out_after=3.0))
                 if refusal == "room":
                     site.worker.capacity = 0
                 site.order_start("a")
@@ -126,7 +126,7 @@
                 site.primary.starts.clear()
                 site.run(4.0)
                 self.assertEqual([("a", 1, "start", refusal)], site.primary.results())
-                self.assertEqual([], site.worker.began)
+                self.assertEqual([], site.worker.started_runs)
                 at_hold = next(result.at_hold for report in site.primary.reports for result in report.results)
                 self.assertGreaterEqual(site.primary.last.hold_number, at_hold)
 
@@ -144,23 +144,23 @@
     def test_a_start_that_came_too_late_is_sent_again_with_a_new_deadline(self) -> None:
         refused: list[Sent] = []
 
-        def forced(sent: Sent) -> str:
+        def forced_refusal(sent: Sent) -> str:
             if sent.kind == "run-start" and len(refused) < 2:
                 refused.append(sent)
                 self.worker.unhealthy = 2 if len(refused) == 2 else 0
                 return "late"
             return ""
 
-        self.worker.forced = forced
+        self.worker.forced_refusal = forced_refusal
         self.site.order_start("a")
         self.site.run(3.0)
-        deadlines = [start.body["deadlineMs"] for start in self.worker.of_kind("run-start")]
+        deadlines = [start.body["deadlineMs"] for start in self.worker.calls_of_kind("run-start")]
         self.assertEqual(5, len(deadlines))
         self.assertEqual(sorted(set(deadlines[:3])), deadlines[:3])
         self.assertEqual("started", self.outcome("a"))
 
     def test_orders_fenced_off_wait_for_the_new_primary(self) -> None:
-        self.worker.life.fence = 9
+        self.worker.instance_model.fence = 9
         self.site.order_start("a")
         before = len(self.primary.reports)
         self.site.run(0.05)
@@ -172,39 +172,39 @@
         self.assertEqual("started", self.outcome("a"))
 
     def test_orders_of_an_old_term_are_void_once_a_new_one_is_known(self) -> None:
-        self.worker.misses = lambda sent: NEVER if sent.kind == "run-start" else None
+        self.worker.lose_call = lambda sent: NEVER if sent.kind == "run-start" else None
         self.site.order_start("a")
         self.site.run(0.1)
         self.primary.starts.clear()
         self.primary.term = 6
         self.site.push()
-        self.worker.misses = lambda sent: None
+        self.worker.lose_call = lambda sent: None
         self.site.run(5.0)
-        self.assertEqual([], self.worker.began)
+        self.assertEqual([], self.worker.started_runs)
 
     def test_orders_of_a_lower_term_are_refused(self) -> None:
         orders = AgentOrders(term=4, instance="i-1", acknowledged=7, starts=[StartOrder("a", 1, "text")])
         reply = self.site.push(orders)
         self.site.run(2.0)
         self.assertEqual((False, 5), (reply.accepted, reply.term))
-        self.assertEqual([], self.worker.of_kind("run-start"))
+        self.assertEqual([], self.worker.calls_of_kind("run-start"))
 
     def test_an_answer_of_a_lower_term_grants_nothing(self) -> None:
         self.site.order_start("a")
         self.site.run(1.0)
         self.site.push(AgentOrders(term=9, instance="i-1"))
         self.site.run(10.0)
-        self.assertEqual([], list(self.worker.life.running))
+        self.assertEqual([], list(self.worker.instance_model.running))
 
     def test_pushed_orders_are_answered_before_they_are_carried_out(self) -> None:
-        self.worker.dark = True
+        self.worker.unreachable = True
         self.primary.starts.append(StartOrder("a", 1, "text"))
         reply = self.site.push()
         self.assertEqual((True, 5), (reply.accepted, reply.term))
         self.assertEqual(5, self.site.views.offered[-1].term)
 
     def test_a_stop_ends_the_repeats_of_its_start_and_makes_it_impossible(self) -> None:
-        self.worker.misses = first_calls("run-start", 1, Missed(carried_out_after=2.0))
+        self.worker.lose_call = first_calls("run-start", 1, LostCall(carried_out_after=2.0))
         self.site.order_start("a")
         self.site.run(0.1)
         self.site.order_stop("a")
@@ -212,15 +212,15 @@
         self.assertEqual([("a", 1, "stop", "stopped")], self.primary.results())
         self.assertGreaterEqual(self.primary.last.hold_number, self.result("a", "stop").at_hold)
         self.site.run(5.0)
-        self.assertEqual(1, len(self.worker.of_kind("run-start")))
-        self.assertEqual([], self.worker.began)
+        self.assertEqual(1, len(self.worker.calls_of_kind("run-start")))
+        self.assertEqual([], self.worker.started_runs)
 
     def test_a_stop_is_carried_to_its_end_though_its_start_is_answered_meanwhile(self) -> None:
         self.site.order_start("a")
         self.site.order_stop("a")
         self.site.run(0.5)
         self.assertEqual([("a", 1, "stop", "stopped")], self.primary.results())
-        self.assertEqual(1, len(self.worker.of_kind("run-stop")))
+        self.assertEqual(1, len(self.worker.calls_of_kind("run-stop")))
         ends = [(end.task, end.how) for report in self.primary.reports for end in report.finished]
         self.assertIn(("a", "stopped"), ends)
 
@@ -232,7 +232,7 @@
         self.worker.capacity = 0
         self.site.run(1.0)
         self.assertEqual("room", self.outcome("a"))
-        self.assertEqual([], self.worker.of_kind("run-stop"))
+        self.assertEqual([], self.worker.calls_of_kind("run-stop"))
 
     def test_a_start_is_refused_where_nothing_listens_any_more(self) -> None:
         self.worker.listening = False  # it was idle, so nothing else would notice
@@ -257,7 +257,7 @@
         self.assertTrue(any(report.lapsed_instance for report in self.site.primary.reports))
 
     def test_a_start_that_an_earlier_process_may_have_sent_is_stopped_before_it_is_refused(self) -> None:
-        self.worker.misses = first_calls("run-start", 1, Missed(carried_out_after=4.0))
+        self.worker.lose_call = first_calls("run-start", 1, LostCall(carried_out_after=4.0))
         self.site.order_start("a")
         self.site.run(0.1)
         self.site.kill()
@@ -267,13 +267,13 @@
         self.assertEqual("room", self.outcome("a"))
         self.worker.capacity = 1000
         self.site.run(5.0)
-        self.assertEqual([], self.worker.began)
+        self.assertEqual([], self.worker.started_runs)
 
     def test_a_run_that_is_there_is_no_refused_start_on_a_draining_worker(self) -> None:
         self.site.order_start("a")
         self.site.run(1.0)
         self.site.kill()
-        self.worker.life.state = "draining"
+        self.worker.instance_model.state = "draining"
         self.worker.answer_delay = lambda sent: 0.1
         self.site.start()
         self.site.run(0.01)
@@ -289,7 +289,7 @@
         self.site.start()
         self.site.run(2.0)
         self.worker.drain()
-        self.worker.dark = True
+        self.worker.unreachable = True
         self.site.run(0.1)
         self.site.order_start("a")
         self.site.run(0.02)
@@ -299,20 +299,20 @@
     def test_a_stop_is_repeated_until_it_is_answered(self) -> None:
         self.site.order_start("a")
         self.site.run(1.0)
-        self.worker.misses = first_calls("run-stop", 2, NEVER)
+        self.worker.lose_call = first_calls("run-stop", 2, NEVER)
         self.worker.unhealthy = 2
         self.site.order_stop("a")
         self.site.run(4.0)
-        self.assertEqual(5, len(self.worker.of_kind("run-stop")))
+        self.assertEqual(5, len(self.worker.calls_of_kind("run-stop")))
         self.assertEqual("stopped", self.outcome("a", "stop"))
 
     def test_the_end_of_a_stopped_run_is_seen_without_another_look(self) -> None:
         self.site.order_start("a")
         self.site.run(2.5)
-        before = len(self.worker.of_kind("hold"))
+        before = len(self.worker.calls_of_kind("hold"))
         self.site.order_stop("a")
         self.site.run(0.25)
-        self.assertEqual(before, len(self.worker.of_kind("hold")))
+        self.assertEqual(before, len(self.worker.calls_of_kind("hold")))
         ends = [(end.task, end.how) for report in self.primary.reports for end in report.finished]
         self.assertIn(("a", "stopped"), ends)
 
@@ -322,10 +322,10 @@
         self.site.order_start("a")
         self.site.run(0.5)
         self.assertEqual("old", self.outcome("a"))
-        self.assertEqual([], self.worker.of_kind("run-start"))
+        self.assertEqual([], self.worker.calls_of_kind("run-start"))
 
     def test_few_calls_are_under_way_at_once_and_stops_go_first(self) -> None:
-        self.worker.misses = lambda sent: NEVER if sent.kind != "hold" else None
+        self.worker.lose_call = lambda sent: NEVER if sent.kind != "hold" else None
         for number in range(10):
             self.site.order_start(f"t{number}")
         self.site.order_stop("other")
@@ -336,37 +336,39 @@
         self.assertEqual("run-stop", kinds[4])
 
     def test_orders_left_unanswered_do_not_block_others(self) -> None:
-        def misses(sent: Sent) -> Missed | None:
+        def lose_call(sent: Sent) -> LostCall | None:
             return NEVER if sent.body.get("task", "").startswith("stuck") else None
 
-        self.worker.misses = misses
+        self.worker.lose_call = lose_call
         for number in range(8):
             self.site.order_start(f"stuck{number}")
         for number in range(8):
             self.site.order_start(f"t{number}")
         self.site.run(4.0)
-        self.assertEqual({f"t{number}" for number in range(8)}, {began.task for began in self.worker.began})
+        self.assertEqual(
+            {f"t{number}" for number in range(8)}, {started_runs.task for started_runs in self.worker.started_runs}
+        )
 
     def test_orders_for_another_life_are_gone(self) -> None:
-        self.worker.crash(back_after=0.1)
+        self.worker.crash(restart_after=0.1)
         self.site.run(0.5)
         orders = AgentOrders(
             term=5,
             instance="i-1",
-            report_number=self.primary.newest_report(),
+            report_number=self.primary.last_report_number(),
             starts=[StartOrder("a", 1, "x")],
             stops=[StopOrder("b", 1)],
         )
         self.site.push(orders)
         self.site.run(0.1)
         self.assertEqual(("gone", "gone"), (self.outcome("a"), self.outcome("b", "stop")))
-        self.assertEqual([], self.worker.of_kind("run-start") + self.worker.of_kind("run-stop"))
+        self.assertEqual([], self.worker.calls_of_kind("run-start") + self.worker.calls_of_kind("run-stop"))
 
     def test_orders_under_way_when_the_worker_crashes_are_gone(self) -> None:
-        self.worker.misses = lambda sent: NEVER if sent.kind == "run-start" else None
+        self.worker.lose_call = lambda sent: NEVER if sent.kind == "run-start" else None
         self.site.order_start("a")
         self.site.run(0.1)
-        self.worker.crash(back_after=0.1)
+        self.worker.crash(restart_after=0.1)
         self.site.run(0.5)
         self.assertEqual("gone", self.outcome("a"))
 
@@ -475,18 +477,18 @@
     def test_a_deadline_is_never_past_its_end_at_any_rate(self) -> None:
         for rate in (0.98, 0.99, 1.0):
             clock = WorkerClock()
-            clock.note(5000.0 + 1000.0 * rate * 10.0, 10.3)  # read at 10.0
+            clock.record_reading(5000.0 + 1000.0 * rate * 10.0, 10.3)  # read at 10.0
             deadline = clock.deadline_ms(16.0)
             assert deadline is not None
             self.assertLessEqual((deadline - 5000.0) / (1000.0 * rate), 16.0)
 
     def test_the_reading_that_says_most_is_kept(self) -> None:
         clock = WorkerClock()
-        clock.note(1000.0, 10.0)
-        clock.note(1100.0, 11.0)  # long under way
-        self.assertEqual(1980.0, clock.at_least(11.0))
-        clock.note(1995.0, 11.0)
-        self.assertEqual(1995.0, clock.at_least(11.0))
+        clock.record_reading(1000.0, 10.0)
+        clock.record_reading(1100.0, 11.0)  # long under way
+        self.assertEqual(1980.0, clock.lower_bound_ms(11.0))
+        clock.record_reading(1995.0, 11.0)
+        self.assertEqual(1995.0, clock.lower_bound_ms(11.0))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_agent_pace.py
+++ b/tests/system/test_agent_pace.py
@@ -4,31 +4,36 @@
 
 import unittest
 
-from pipitledge.agent.answer_times import FIRST_TIMEOUT_S, LONGEST_TIMEOUT_S, SHORTEST_TIMEOUT_S, AnswerTimes
-from pipitledge.agent.permit import LONGEST_HOLD_S
-from pipitledge.agent.poll_pace import LONGEST_WAIT_S, SHORTEST_WAIT_S, PollPace
-from tests.system.agent_worker import Missed, Sent, Site
+from pipitledge.agent.lease_grant import MAX_LEASE_S
+from pipitledge.agent.poll_wait import LONGEST_WAIT_S, SHORTEST_WAIT_S, PollWaitEstimator
+from pipitledge.agent.response_times import (
+    FIRST_TIMEOUT_S,
+    LONGEST_TIMEOUT_S,
+    SHORTEST_TIMEOUT_S,
+    ResponseTimeEstimator,
+)
+from tests.system.agent_worker import LostCall, Sent, Site
 
 QUICK_S = 0.002
-LOST = Missed()
+LOST = LostCall()
 
 
 class AnswerTimesTest(unittest.TestCase):
     def test_quick_answers_bring_the_time_out_to_its_floor(self) -> None:
-        times = AnswerTimes()
+        times = ResponseTimeEstimator()
         self.assertEqual(FIRST_TIMEOUT_S, times.timeout)
         for _ in range(3):
             times.answered(QUICK_S)
         self.assertEqual(SHORTEST_TIMEOUT_S, times.timeout)
 
     def test_slow_and_uneven_answers_are_waited_for(self) -> None:
-        times = AnswerTimes()
+        times = ResponseTimeEstimator()
         for seconds in (0.1, 0.3) * 10:
             times.answered(seconds)
         self.assertGreater(times.timeout, 0.3)
 
     def test_silence_lengthens_it_once_for_calls_made_side_by_side(self) -> None:
-        times = AnswerTimes()
+        times = ResponseTimeEstimator()
         times.answered(QUICK_S)
         for _ in range(4):
             times.unanswered(sent_at=1.0, now=1.15)
@@ -40,7 +45,7 @@
 
 class PollPaceTest(unittest.TestCase):
     def test_polls_wait_little_longer_than_it_takes_until_an_end_comes(self) -> None:
-        pace = PollPace()
+        pace = PollWaitEstimator()
         self.assertEqual(LONGEST_WAIT_S, pace.wait_s)
         for _ in range(30):
             pace.ended(0.25)
@@ -50,7 +55,7 @@
         self.assertEqual(SHORTEST_WAIT_S, pace.wait_s)
 
     def test_polls_without_an_end_wait_longer_and_longer(self) -> None:
-        pace = PollPace()
+        pace = PollWaitEstimator()
         for _ in range(30):
             pace.ended(0.1)
         for _ in range(9):
@@ -84,37 +89,37 @@
     def test_an_end_is_soon_known_though_the_poll_for_it_was_lost(self) -> None:
         left = [1]
 
-        def lose_one_poll(sent: Sent) -> Missed | None:
+        def lose_one_poll(sent: Sent) -> LostCall | None:
             if not sent.body.get("waitMs") or not left[0]:
                 return None
             left[0] -= 1
             return LOST
 
-        self.site.worker.misses = lose_one_poll
+        self.site.worker.lose_call = lose_one_poll
         self.assertLess(self.end_one(), 0.7)
 
     def test_one_lost_call_does_not_keep_others_from_starting(self) -> None:
-        self.site.worker.misses = lambda sent: LOST if sent.body.get("task") == "lost" else None
+        self.site.worker.lose_call = lambda sent: LOST if sent.body.get("task") == "lost" else None
         self.site.order_start("lost")
         self.site.run(0.2)
         self.site.order_start("next")
         self.site.run(0.05)
-        self.assertIn("next", [began.task for began in self.site.worker.began])
+        self.assertIn("next", [started_runs.task for started_runs in self.site.worker.started_runs])
         self.assertEqual(0, self.site.primary.last.silent_ms)
 
     def test_tasks_of_a_worker_that_falls_silent_lapse_within_the_longest_hold(self) -> None:
         self.site.order_start("last")
         self.site.run(0.3)
-        self.site.worker.dark = True
+        self.site.worker.unreachable = True
         silent_at = self.site.world.time
-        self.site.run(LONGEST_HOLD_S + 1.5)
+        self.site.run(MAX_LEASE_S + 1.5)
         lapsed = [
             when
             for when, report in zip(self.site.primary.report_times, self.site.primary.reports, strict=True)
             if report.lapsed_instance
         ]
         self.assertTrue(lapsed, "not told")
-        self.assertGreater(lapsed[0], silent_at + LONGEST_HOLD_S)
+        self.assertGreater(lapsed[0], silent_at + MAX_LEASE_S)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_system_cli.py
+++ b/tests/system/test_system_cli.py
@@ -22,7 +22,7 @@
 import urllib3
 from msgspec import Struct
 
-from pipitledge.agent.life import HeartbeatEffect
+from pipitledge.agent.worker_instance import HeartbeatEffect
 from pipitledge.cli import data_folder, system, system_status
 from pipitledge.cli.data_folder import FolderContent, FolderProblem
 from pipitledge.cli.settings_check import check_settings
@@ -540,7 +540,7 @@
         events = set[str]().union(*map(logged_events, sources))
         self.assertIn("primary_active", events)
         events.remove("worker_")
-        told = (HeartbeatEffect.NEW_LIFE, HeartbeatEffect.CONFIRMED, HeartbeatEffect.DRAINING)
+        told = (HeartbeatEffect.NEW_INSTANCE, HeartbeatEffect.CONFIRMED, HeartbeatEffect.DRAINING)
         events |= {f"worker_{effect.value}" for effect in told}
         self.assertEqual(self.named, events)
 
--- a/tests/system/whole_system_mutants.py
+++ b/tests/system/whole_system_mutants.py
@@ -9,9 +9,9 @@
 from unittest import mock
 
 from pipitledge.agent.agent import Agent
-from pipitledge.agent.life import Lives
-from pipitledge.agent.orders import OrderDesk
-from pipitledge.agent.permit import Permit
+from pipitledge.agent.lease_grant import LeaseGrant
+from pipitledge.agent.orders import OrderDispatcher
+from pipitledge.agent.worker_instance import InstanceTracker
 from pipitledge.configuration import keeper
 from pipitledge.emulator.cluster.auditor import Breach
 from pipitledge.replication.primary import Primary
@@ -65,10 +65,10 @@
 def _leases_extended_forever() -> list[Any]:
     """An agent without a primary extends the task leases of its worker without limit."""
 
-    def until(self: Permit) -> float | None:
-        return None if self._granted_until is None else self._clock.now() + self._longest_hold
+    def until(self: LeaseGrant) -> float | None:
+        return None if self._granted_until is None else self._clock.now() + self._max_lease_s
 
-    return [mock.patch.object(Permit, "until", until)]
+    return [mock.patch.object(LeaseGrant, "until", until)]
 
 
 def _resources_not_counted() -> list[Any]:
@@ -81,28 +81,31 @@
 
 def _drain_ignored() -> list[Any]:
     """A draining worker gets start orders like any other."""
-    original = Lives._renew
+    original = InstanceTracker._renew
 
-    def renew(self: Lives, life: Any, info: Any) -> Any:
+    def renew(self: InstanceTracker, life: Any, info: Any) -> Any:
         effect = original(self, life, info)
         life.draining = False
         if life.info is not None:
             life.info.state = "ready"
         return effect
 
-    return [mock.patch.object(Lives, "_renew", renew), mock.patch.object(OrderDesk, "_refuse_unsent_starts", _nothing)]
+    return [
+        mock.patch.object(InstanceTracker, "_renew", renew),
+        mock.patch.object(OrderDispatcher, "_refuse_unsent_starts", _nothing),
+    ]
 
 
 def _no_fence_in_agent() -> list[Any]:
     """An agent obeys orders of any term, and does not pass a newer fencing token to its worker."""
-    original = Agent._take_orders
+    original = Agent._apply_orders
 
     def obey(self: Agent, orders: AgentOrders) -> bool:
         if self._term:
             orders.term = self._term
         return original(self, orders)
 
-    return [mock.patch.object(Agent, "_take_orders", obey)]
+    return [mock.patch.object(Agent, "_apply_orders", obey)]
 
 
 def _commit_without_backups() -> list[Any]:
