--- a/pipitledge/agent/__init__.py
+++ b/pipitledge/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The process beside a worker: holds its tasks, carries out orders, reports."""
+"""The agent process beside a worker: renews task leases, executes orders of the primary and sends it reports."""
--- a/pipitledge/agent/agent.py
+++ b/pipitledge/agent/agent.py
@@ -1,7 +1,7 @@
-"""The agent beside one worker: brings its parts together, and speaks with the primary and the worker.
+"""The agent beside one worker: connects its parts, and communicates with the primary and the worker.
 
-Calls come from four sides: the worker's heartbeats, the primary's orders (as answers to reports or sent by
-themselves), the worker's answers, and timers. Each ends in `_drive`, which sends whatever is due then.
+There are four kinds of events: heartbeats of the worker, orders of the primary (in answers to reports, or pushed),
+answers of the worker, and timers. The handler of each event ends with `_drive`, which sends all calls that are due.
 """
 
 from __future__ import annotations
@@ -26,43 +26,43 @@
 BUSY_REPORT_S = 1.0
 IDLE_REPORT_S = 1.5
 SHORTEST_REPORT_S = 0.1
-GRANT_RENEWAL_FRACTION = 1 / 4  # of the grant may pass until it is renewed
-FENCE_WAIT_S = 0.3  # how long the first report of a term waits for a hold under it
+GRANT_RENEWAL_FRACTION = 1 / 4  # of the grant's duration; a report renews the grant after this time at the latest
+FENCE_WAIT_S = 0.3  # longest delay of the first report of a term, until the worker has the new fencing token
 ACKNOWLEDGED = b"{}"
 
 Respond = Callable[[int, bytes], None]
 
 
 class Membership(Protocol):
-    """Who takes news of the view."""
+    """The part of the process that keeps track of the view."""
 
     def offer_view(self, view: View) -> None:
-        """Take a view that was heard of."""
+        """Accept a view that a message contained."""
 
 
 class AgentBounds(Protocol):
-    """The bounds of the settings file that agents keep to."""
+    """The settings in the section of bounds that agents need."""
 
     @property
     def hold_max_ms(self) -> float:
-        """The longest time for which a worker holds its tasks."""
+        """The longest task lease that a worker accepts."""
 
 
 class Log(Protocol):
-    """Structured log; one event a line."""
+    """Structured log with one event per line."""
 
     def info(self, event: str, **fields: object) -> None:
         """Write an ordinary event."""
 
     def warning(self, event: str, **fields: object) -> None:
-        """Write an event that operators may want to look at."""
+        """Write an event that may need the attention of an operator."""
 
 
 class AgentIdentity(Struct, frozen=True):
-    """Who this agent is, and which worker it stands beside."""
+    """Identifies this agent and the worker beside it."""
 
     name: str
-    address: str  # of its internal server
+    address: str  # of the agent's internal server
     zone: str
     incarnation: int
     app_address: str = ""  # of the worker
@@ -70,7 +70,7 @@
 
 
 class _ReportedItems(Struct):
-    """What a report carried that need not be told again once it is answered."""
+    """The items of the latest report that need not be reported again once it is answered."""
 
     number: int = 0
     results: list[CompletedOrder] = []
@@ -78,7 +78,7 @@
 
 
 class Agent:
-    """The process beside one worker."""
+    """Coordinates task leases, orders and reports of one worker."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
         heartbeat_ms: float,
         log: Log,
     ) -> None:
-        """`heartbeat_ms` is how often the worker tells of itself."""
+        """`heartbeat_ms` is the interval of the worker's heartbeats."""
         self._clock = clock
         self._membership = membership
         self._identity = identity
@@ -102,7 +102,7 @@
         self._reported_items = _ReportedItems()
         self._silent_instance: WorkerInstance | None = None
         self._expiry_reported = False
-        self._expiry_report_number = 0  # number of the last report that told of a lapse
+        self._expiry_report_number = 0  # orders that answer an earlier report start nothing
         self._instances = InstanceTracker(clock)
         self._grant = LeaseGrant(clock, bounds.hold_max_ms)
         client = WorkerClient(clock, worker_calls)
@@ -115,24 +115,24 @@
         )
         self._reporter = Reporter(clock, primary, self._build_report, self._report_answered, self._interval)
 
-    # ---- the program's side
+    # ---- called by the program
 
     def register(self, handlers: Handlers) -> None:
-        """Answer the primary's orders."""
+        """Register the handler of orders that the primary pushes."""
         handlers.on_call(AgentOrders, self._orders_pushed)
 
     def start(self) -> None:
-        """Report at once: the answer tells the term, and how long tasks may be held."""
+        """Send a report at once: the answer contains the term and the lease grant."""
         self._reporter.request_report()
 
     def stop(self) -> None:
-        """Send nothing more; what runs is held until its deadline."""
+        """Send no more messages; running tasks keep their leases until these expire."""
         self._reporter.stop()
         self._dispatcher.stop()
         self._leases.stop()
 
     def heartbeat(self, instance: str, body: bytes, respond: Respond) -> None:
-        """Take a worker's heartbeat; an announced end is acknowledged once no start can leave any more."""
+        """Process a heartbeat of the worker; draining is only acknowledged when no more starts can be sent."""
         effect = self._instances.heartbeat(instance, body)
         if isinstance(effect, BadHeartbeat):
             self._log.warning("heartbeat_refused", instance=instance, reason=effect.reason)
@@ -147,7 +147,7 @@
         respond(OK, ACKNOWLEDGED)
 
     def leave(self, instance: str, respond: Respond) -> None:
-        """Take a worker's goodbye: its life is over once nothing can be running there."""
+        """Process the announced exit of a worker: the instance has ended once no run can be running there."""
         self._instances.assume_current(instance)
         worker = self._instances.current
         if worker is not None and worker.instance == instance:
@@ -160,7 +160,7 @@
         respond(OK, ACKNOWLEDGED)
 
     def status(self) -> dict[str, object]:
-        """What operators' tools show."""
+        """The status of the agent for the tools of operators."""
         worker = self._instances.current
         now = self._clock.now()
         until = self._grant.until()
@@ -178,7 +178,7 @@
             "openOrders": self._dispatcher.open_orders(),
         }
 
-    # ---- the primary's side
+    # ---- messages of the primary
 
     def _orders_pushed(self, orders: AgentOrders, reply: Callable[[Struct], None]) -> None:
         accepted = self._apply_orders(orders)
@@ -193,7 +193,7 @@
         return self._apply_orders(orders)
 
     def _apply_orders(self, orders: AgentOrders) -> bool:
-        """Obey a primary, unless one of a higher term is known."""
+        """Execute the orders, unless a higher term is known. Return whether they were accepted."""
         if orders.term < self._term:
             self._log.info("orders_refused", term=orders.term, known=self._term, primary=orders.primary)
             return False
@@ -214,13 +214,16 @@
         return True
 
     def _handle_grant_expiry(self, next_report: int) -> None:
-        """Without a grant the primary takes all runs for lapsed: only orders that answer a later report count."""
+        """Discard pending starts if the grant has expired: the primary may treat all runs as expired by then.
+
+        From then on only orders that answer `next_report` or a later report may start runs.
+        """
         if self._grant.until() is None:
             self._dispatcher.drop_starts()
             self._expiry_report_number = max(self._expiry_report_number, next_report)
 
     def _begin_term(self, term: int, primary: str) -> None:
-        """Obey a new primary: the worker sees its fence first, then it gets a report."""
+        """Switch to a new term: first the worker gets the new fencing token, then the primary a report."""
         self._log.info("term", term=term, primary=primary)
         self._term = term
         self._leases.set_fence(term)
@@ -230,7 +233,7 @@
         self._reporter.request_report()
 
     def _learn_instance(self, instance: str) -> None:
-        """The primary knows a life from an earlier incarnation of this agent."""
+        """Process the instance id in the orders; the primary may know it from an earlier incarnation of this agent."""
         worker = self._instances.current
         if self._instances.has_ended(instance):
             self._instances.report_again(instance)
@@ -239,7 +242,7 @@
         elif worker.instance != instance and worker.info is not None:
             self._instances.mark_ended(instance)
 
-    # ---- the worker's side
+    # ---- changes at the worker
 
     def _lease_changed(self, change: LeaseChange) -> None:
         if change is LeaseChange.LEFT:
@@ -265,7 +268,7 @@
         self._drive()
 
     def _drive(self) -> None:
-        """Send what is due after a change."""
+        """Send all calls and request all reports that are due after an event."""
         self._dispatcher.drive()
         self._leases.drive()
         self._report_new_results()
@@ -273,7 +276,7 @@
         self._report_expiry()
 
     def _report_new_results(self) -> None:
-        """Ends of orders that no report has carried go at once."""
+        """Request a report if orders have completed since the last check."""
         if self._dispatcher.consume_new_results():
             self._reporter.request_report()
 
@@ -295,7 +298,7 @@
     # ---- reports
 
     def _interval(self) -> float:
-        """Time between reports without news."""
+        """The longest time between two reports if nothing changes."""
         longest = BUSY_REPORT_S if self._leases.may_run() else min(IDLE_REPORT_S, self._heartbeat_s)
         if self._grant.grant_s > 0.0:
             longest = min(longest, GRANT_RENEWAL_FRACTION * self._grant.grant_s)
@@ -324,13 +327,13 @@
         return report
 
     def _add_expiry(self, report: AgentReport) -> None:
-        """Tell that nothing runs on a silent worker any more; starts that it was not given yet are dropped."""
+        """Report that all task leases of a silent worker have expired, and discard starts that are not completed."""
         worker = self._instances.current
         if worker is None or not self._leases.leases_expired():
             return
         report.lapsed_instance = worker.instance
         self._dispatcher.drop_starts()
-        self._expiry_report_number = report.number  # each of them ends at the primary what was ordered before it came
+        self._expiry_report_number = report.number  # on each such report the primary treats all earlier orders as ended
         if not self._expiry_reported:
             self._expiry_reported = True
             self._log.warning("worker_lapsed", instance=worker.instance)
--- a/pipitledge/agent/lease_manager.py
+++ b/pipitledge/agent/lease_manager.py
@@ -1,14 +1,16 @@
-"""Holds: keep the worker's tasks alive by deadlines, and learn from its lists what runs and what ended.
+"""Task leases: extends the deadlines of a worker's runs, and learns from its lists which runs are running or ended.
 
-Each hold is a look at the worker, and has a price: none is sent without need. The needs, by rank:
+Both are done by hold calls (`/pipitledge/hold`). Every call costs the worker time, so one is sent only when needed.
+There are three kinds, in this order of precedence:
 
-- a *look*, answered at once, after a change of term or life (it shows the worker the new fence), or where lists are
-  wanted that are newer than an order's answer;
-- a *renewal*, answered at once, where a deadline would run out before the poll under way returns;
-- a *poll*, answered at the next end, as long as anything may be running.
+- a *refresh*, answered at once: after a change of the term or of the worker instance (it gives the worker the new
+  fencing token), or when lists newer than the answer to an order are needed;
+- a *renewal*, answered at once: when a deadline would expire before the pending poll returns;
+- a *poll*, answered when the next run ends (long polling): as long as any run may be running.
 
-One poll is under way at a time, and one of the others beside it. Calls are numbered as they are sent; lists of a lower
-number than those taken last are left out, ends are taken from any answer.
+At most one poll is pending at a time, and at most one refresh or renewal beside it. Calls are numbered in the order in
+which they are sent. Lists from a call with a lower number than the latest lists are ignored; ended runs are accepted
+from any answer.
 """
 
 from __future__ import annotations
@@ -29,39 +31,39 @@
 from pipitledge.runtime.ports import Clock, Timer
 from pipitledge.wire.messages import FinishedTask, RunningTask
 
-POLL_WAIT_FRACTION = 0.4  # of the time left until the deadline; then it is renewed
-MIN_EXTENSION_S = 0.25  # a renewal that moves the deadline by less isn't worth a call
-RENEWAL_MARGIN_S = 0.75  # a deadline this near is renewed beside the poll
-RENEWAL_MARGIN_FRACTION = 0.15  # of the time held, where that is shorter; two polls fit in before (see `WAIT_SHARE`)
-POLL_INTERVAL_S = 0.1  # ends that come close together share a poll; the primary may want another figure
-UNACKNOWLEDGED_POLL_INTERVAL_S = 1.0  # ends that are not acknowledged would answer each poll at once
-REFUSED_BACKOFF_S = 0.5  # after a call that was refused
+POLL_WAIT_FRACTION = 0.4  # of the time left in the grant: the answer arrives in time to renew the deadline
+MIN_EXTENSION_S = 0.25  # a renewal that extends the deadline by less is not worth a call
+RENEWAL_MARGIN_S = 0.75  # a deadline this close is renewed although a poll is pending
+RENEWAL_MARGIN_FRACTION = 0.15  # of the lease, if that is less; leaves time for two polls (see `POLL_WAIT_FRACTION`)
+POLL_INTERVAL_S = 0.1  # minimum, so that runs that end close together share a poll; the primary may set another
+UNACKNOWLEDGED_POLL_INTERVAL_S = 1.0  # a worker with unacknowledged ended runs answers every poll at once
+REFUSED_BACKOFF_S = 0.5  # after the first call that was answered with an error
 REFUSED_BACKOFF_FACTOR = 1.5
-TIMEOUT_BACKOFF_S = 0.02  # after one that got no answer
+TIMEOUT_BACKOFF_S = 0.02  # after the first call without an answer
 TIMEOUT_BACKOFF_FACTOR = 2.5
 MAX_BACKOFF_S = 2.0
-SILENT_AFTER_FAILURES = 2  # a single call may be lost on its way
-EXPIRY_CHECK_DELAY_S = 0.01  # after a lapse, it is told of
-MISSED_HEARTBEATS = 3  # a worker silent in all ways for so many is left alone once its tasks have lapsed
+SILENT_AFTER_FAILURES = 2  # a single call may have been lost
+EXPIRY_CHECK_DELAY_S = 0.01  # after the leases expire; then the expiry is reported
+MISSED_HEARTBEATS = 3  # a worker that sends none for so long is not called once its leases have expired
 
 SHORTEST_TIMER_S = 0.001
 
-RunKey = tuple[str, int]  # task and run
+RunKey = tuple[str, int]  # task id and run number
 
 
 class LeaseChange(enum.Enum):
-    """What the answer to a hold changed."""
+    """What the answer to a hold call changed."""
 
     NOTHING_NEW = "lists"
-    NEW_ENDS_OR_LISTS = "news"  # ends, or lists that were waited for
+    NEW_ENDS_OR_LISTS = "news"  # newly ended runs, the first lists of a term, or lists that confirm an order
     FAILED = "failed"
-    FENCED = "fenced"  # the worker has seen a higher fence
-    REPLACED = "denied"  # another life answered
-    LEFT = "left"  # the life that said goodbye is over
+    FENCED = "fenced"  # the worker knows a higher fencing token
+    REPLACED = "denied"  # another worker instance answered
+    LEFT = "left"  # the worker instance that announced its exit has ended
 
 
 class RunLists(Struct):
-    """What the worker's last lists told; `number` 0: none yet of this life."""
+    """The latest lists received from the worker; `number` is 0 if this instance has not sent any yet."""
 
     number: int = 0
     fence: int = 0
@@ -70,23 +72,23 @@
 
 
 class _HoldCall(Struct):
-    """A hold under way."""
+    """A pending hold call."""
 
     worker: WorkerInstance
     number: int
     fence: int
     sent_at: float
-    wait_s: float  # for an end; 0: a look or a renewal
-    until: float | None  # end of holding that it gives (agent's clock)
+    wait_s: float  # how long the worker may wait for a run to end; 0 for a refresh or a renewal
+    until: float | None  # the lease deadline that it carries (agent's clock); None: it extends nothing
 
     @property
     def is_poll(self) -> bool:
-        """Whether it is answered at the next end."""
+        """Whether the worker answers only when the next run ends or the wait is over."""
         return self.wait_s > 0.0
 
 
 class LeaseManager:
-    """Holds for the present life of the worker."""
+    """Manages the task leases of the current worker instance."""
 
     def __init__(
         self,
@@ -98,9 +100,10 @@
         hold_max_s: float,
         on_change: Callable[[LeaseChange], None],
     ) -> None:
-        """`on_change` is told of each answer; it calls `drive` in the end.
+        """`on_change` is called after each answer and each timer; it must call `drive` before it returns.
 
-        A worker takes no deadline further ahead than `hold_max_s`, also from an earlier process of this agent.
+        A worker accepts no deadline further ahead than `hold_max_s`. That also limits the leases that an earlier
+        process of this agent may have granted.
         """
         self._earlier_leases_until = clock.now() + hold_max_s / MIN_CLOCK_RATE
         self._clock = clock
@@ -117,36 +120,37 @@
         self._reset(None)
 
     def _reset(self, worker: WorkerInstance | None) -> None:
-        """Forget all that was known of another life."""
+        """Discard the state of the previous worker instance."""
         self._worker = worker
         self.lists = RunLists()
         self.acknowledged = 0
         self._ends: dict[int, FinishedTask] = {}
         self._last_end = 0
         self._more_ends = False
-        self._expected: dict[RunKey, int] = {}  # may be running; number of the first hold that tells
+        # runs that may be running, with the number of the first hold call that can confirm it
+        self._expected: dict[RunKey, int] = {}
         self._worker_fence = 0
         self._refresh_number = 0
         self._confirming_number = 0
         self._poll_call: _HoldCall | None = None
         self._immediate_call: _HoldCall | None = None
         self._poll_wait = PollWaitEstimator()
-        self._confirmed_until = 0.0  # that the worker confirmed
+        self._confirmed_until = 0.0  # latest deadline that the worker confirmed
         self._confirmed_from = 0.0
-        self._latest_sent_until = 0.0  # that the worker may have been given
+        self._latest_sent_until = 0.0  # latest deadline that the worker may have received
         self._polled_at = -math.inf
         self._answered_at = -math.inf
         self._failures = 0
         self._retry_at = -math.inf
 
-    # ---- what others tell
+    # ---- input from the agent and the order dispatcher
 
     def set_fence(self, term: int) -> None:
-        """Hold under a new term."""
+        """Use the term as fencing token from now on."""
         self._fence = term
 
     def acknowledge(self, instance: str, number: int) -> None:
-        """Ends of that life up to `number` are in replicated state."""
+        """The primary has replicated the ended runs of that worker instance up to `number`."""
         self._follow_instance()
         if self._worker is None or self._worker.instance != instance or number <= self.acknowledged:
             return
@@ -158,23 +162,23 @@
             self.request_refresh()
 
     def set_poll_interval(self, interval_s: float) -> None:
-        """Let polls begin no sooner after each other."""
+        """Set the minimum time between the starts of two polls."""
         self._poll_interval_s = interval_s
 
     def expect_run(self, key: RunKey) -> None:
-        """That run may be there from now on."""
+        """The worker may be running that run from now on."""
         self._expected[key] = self._next_call_number
 
     def request_refresh(self) -> None:
-        """Lists are wanted from a call that is sent after now, and soon."""
+        """Request lists from a call that is sent from now on, without waiting for the next poll."""
         self._refresh_number = self._next_call_number
 
     def record_sent_deadline(self, until: float) -> None:
-        """An order with that end of holding was sent: the worker may have taken it."""
+        """A call with that lease deadline was sent; the worker may have accepted it."""
         self._latest_sent_until = max(self._latest_sent_until, until)
 
     def record_confirmed_deadline(self, until: float, sent_at: float) -> None:
-        """The worker confirmed that end of holding, of a call sent at `sent_at`."""
+        """The worker confirmed that lease deadline, carried by a call sent at `sent_at`."""
         if until > self._confirmed_until:
             self._confirmed_until = until
             self._confirmed_from = sent_at
@@ -184,35 +188,35 @@
         self._stopped = True
         self._set_timer(None)
 
-    # ---- what others ask
+    # ---- queries
 
     def next_call_number(self) -> int:
-        """Number of the next call; its lists are news once they come."""
+        """Return the number of the next hold call; its lists will be reported at once, as they confirm an order."""
         self._confirming_number = self._next_call_number
         return self._next_call_number
 
     def may_run(self) -> bool:
-        """Whether anything may be running, as far as is known."""
+        """Whether the worker may be running any run, as last known."""
         return bool(self.lists.running or self._expected)
 
     def runs(self, key: RunKey) -> bool:
-        """Whether the last lists show that run as running."""
+        """Whether the latest lists name that run as running."""
         return any((entry.task, entry.run) == key for entry in self.lists.running)
 
     def has_seen(self, key: RunKey) -> bool:
-        """Whether the lists show that run as running or ended."""
+        """Whether the lists name that run as running or ended."""
         return self.runs(key) or any((end.task, end.run) == key for end in self._ends.values())
 
     def finished(self) -> list[FinishedTask]:
-        """All ends that are not acknowledged."""
+        """All ended runs that the primary has not acknowledged."""
         return [self._ends[number] for number in sorted(self._ends)]
 
     def worker_has_fence(self) -> bool:
-        """Whether the worker's present life has seen the present term."""
+        """Whether the current worker instance has received the fencing token of the current term."""
         return self._worker_fence >= self._fence
 
     def has_abandoned_worker(self) -> bool:
-        """Whether the worker is silent in all ways, and all that it may have held has lapsed."""
+        """Whether the worker neither answers nor sends heartbeats, and all its task leases have expired."""
         if self._worker is None or not self._failures:
             return False
         now = self._clock.now()
@@ -220,27 +224,27 @@
         return missed and now > self._latest_sent_until
 
     def earlier_calls_may_arrive(self) -> bool:
-        """Whether calls of an earlier process of this agent may yet be carried out."""
+        """Whether the worker may still execute calls that an earlier process of this agent sent."""
         return self._clock.now() <= self._earlier_leases_until
 
     def is_silent(self) -> bool:
-        """Whether the last holds failed: then nothing is given to the worker that would prolong its holds."""
+        """Whether the last hold calls failed or all calls are unanswered; then no call may extend the task leases."""
         if self._failures >= SILENT_AFTER_FAILURES:
             return True
         return self._worker is not None and self._worker.silent and not self._worker.connection_refused
 
     def leases_expired(self) -> bool:
-        """Whether the worker leaves calls unanswered, and all that it may have held has lapsed."""
+        """Whether the worker has stopped answering and all its task leases have expired."""
         return self.is_silent() and self._clock.now() > self._expiry_at()
 
     def _expiry_at(self) -> float:
-        """When the last deadline that the worker may know has come."""
+        """When the latest deadline that the worker may know has passed."""
         return max(self._latest_sent_until, self._earlier_leases_until)
 
     # ---- which call is due
 
     def drive(self) -> None:
-        """Send what is due now, and wake up when the next may be."""
+        """Send the call that is due now, and set a timer for the next one."""
         self._follow_instance()
         worker = self._worker
         if worker is None or worker.replaced or not self._fence or self._stopped:
@@ -259,7 +263,7 @@
             self._reset(self._instances.current)
 
     def _has_left(self, worker: WorkerInstance) -> bool:
-        """A worker that said goodbye is gone once nothing can be running there."""
+        """Whether a worker that announced its exit has ended: no run can be running there any more."""
         if not worker.leaving:
             return False
         idle = self.lists.number > 0 and not self.may_run()
@@ -281,12 +285,15 @@
         return self.may_run() and self._extension_s() >= MIN_EXTENSION_S and self._clock.now() >= self._renewal_at()
 
     def _extension_s(self) -> float:
-        """By how much a call now would move the end of holding."""
+        """By how many seconds a call sent now would extend the lease deadline."""
         until = self._grant.until()
         return 0.0 if until is None else until - self._confirmed_until
 
     def _renewal_at(self) -> float:
-        """When the confirmed deadline gets near; it comes early if the worker's clock keeps pace with ours."""
+        """When the confirmed deadline is due for renewal.
+
+        The worker reaches the deadline earlier than the agent computed if its clock is not as slow as assumed.
+        """
         span = MIN_CLOCK_RATE * (self._confirmed_until - self._confirmed_from)
         return self._confirmed_from + span - min(RENEWAL_MARGIN_S, RENEWAL_MARGIN_FRACTION * span)
 
@@ -295,20 +302,20 @@
         return idle and self.may_run() and self._clock.now() >= self._poll_at()
 
     def _poll_at(self) -> float:
-        """The earliest time of the next poll."""
+        """The earliest time at which the next poll may be sent."""
         if self._last_end > self.acknowledged:
             return self._answered_at + UNACKNOWLEDGED_POLL_INTERVAL_S
         return self._polled_at + self._poll_interval_s
 
     def _poll_wait_s(self) -> float:
-        """How long a poll may wait, so that the deadline is renewed in time."""
+        """How long a poll may wait at the worker so that the deadline is still renewed in time."""
         until = self._grant.until()
         if until is None or self._extension_s() < MIN_EXTENSION_S:
             return self._poll_wait.wait_s
         return min(self._poll_wait.wait_s, max(SHORTEST_WAIT_S, POLL_WAIT_FRACTION * (until - self._clock.now())))
 
     def _next_wakeup(self) -> float | None:
-        """When something may become due by time alone."""
+        """When the next timer is needed, for a call or to report expired leases; None if there is none."""
         now = self._clock.now()
         call_at = self._next_call_at(now)
         expiry_at = self._expiry_at() + EXPIRY_CHECK_DELAY_S
@@ -317,7 +324,7 @@
         return expiry_at if call_at is None else min(call_at, expiry_at)
 
     def _next_call_at(self, now: float) -> float | None:
-        """When a call may become due by time alone."""
+        """When the next call becomes due without any other event; None if there is none."""
         if now < self._retry_at:
             return self._retry_at
         if not self.may_run() or self.has_abandoned_worker():
@@ -333,11 +340,11 @@
         if when is None:
             self._timer = None
             return
-        # a clock that is read a trifle early must not make this spin
+        # the minimum prevents a busy loop when the timer fires slightly before its time
         self._timer = self._clock.at(max(when, self._clock.now() + SHORTEST_TIMER_S), self._due)
 
     def _due(self) -> None:
-        """Something may have become due by time alone: a call, or to tell of a lapse."""
+        """The timer fired: a call or the report of expired leases may be due."""
         self._on_change(LeaseChange.NOTHING_NEW)
 
     # ---- calls and answers
@@ -384,9 +391,7 @@
             return LeaseChange.LEFT
         fenced = reply.status == CONFLICT and reply.reason == "fence"
         if call.number < self.lists.number or (fenced and call.fence < self._fence):
-            return (
-                LeaseChange.NOTHING_NEW
-            )  # overtaken by a later call: the worker is no more silent than that one found it
+            return LeaseChange.NOTHING_NEW  # a later call has been answered since, so this failure says nothing
         self._back_off(reply.status == NO_ANSWER)
         return LeaseChange.FENCED if fenced else LeaseChange.FAILED
 
@@ -417,7 +422,7 @@
         return LeaseChange.NEW_ENDS_OR_LISTS if has_news else LeaseChange.NOTHING_NEW
 
     def _record_poll_time(self, call: _HoldCall, ended: bool) -> None:
-        """Learn from a poll's answer how long it takes until an end comes."""
+        """Pass the duration of a poll to the estimator of poll waits."""
         took_s = self._clock.now() - call.sent_at
         if call.is_poll and ended:
             self._poll_wait.ended(took_s)
@@ -425,7 +430,7 @@
             self._poll_wait.empty(call.wait_s)
 
     def _record_ends(self, entries: list[FinishedEntry]) -> bool:
-        """Keep ends until they are acknowledged; whether one of them is new."""
+        """Keep ended runs until they are acknowledged. Return whether one of them is new."""
         known = len(self._ends)
         for entry in entries:
             self._last_end = max(self._last_end, entry.number)
@@ -440,7 +445,7 @@
         return len(self._ends) > known
 
     def _prune_expected(self, number: int) -> None:
-        """Runs that the lists show, or that lists of a call sent later don't show, are no longer a guess."""
+        """Remove expected runs that the lists contain, or that lists requested later do not contain."""
         shown = {(entry.task, entry.run) for entry in self.lists.running}
         self._expected = {key: first for key, first in self._expected.items() if first > number and key not in shown}
 
--- a/pipitledge/agent/orders.py
+++ b/pipitledge/agent/orders.py
@@ -1,7 +1,8 @@
-"""Orders to the worker, each carried to a definite end: repeated until the worker says what became of it.
+"""Sends orders to the worker and repeats each of them until its outcome is certain.
 
-A start that got no answer may be carried out seconds later. So a refusal that follows is not the end of it: the run is
-first stopped, which makes a late start impossible, and then the refusal is reported.
+A start call without an answer may still be executed seconds later. If the worker refuses a repetition of it, that
+refusal is therefore not final: the run is stopped first, which makes a late start impossible, then the refusal is
+reported.
 """
 
 from __future__ import annotations
@@ -31,19 +32,19 @@
 MAX_PARALLEL_CALLS = 4
 SHORTEST_TIMER_S = 0.001
 LONGEST_TIMEOUT_S = 2.0
-TIMEOUT_GROWTH_FACTOR = 1.5  # of an order's calls, with each that got no answer
-TIMEOUT_RETRY_DELAY_S = 0.01  # before a call is repeated that got no answer
-REFUSAL_RETRY_DELAY_S = 0.2  # times the number of refusals so far
+TIMEOUT_GROWTH_FACTOR = 1.5  # of the time-out of an order's calls, for each call without an answer
+TIMEOUT_RETRY_DELAY_S = 0.01  # before a call without an answer is repeated
+REFUSAL_RETRY_DELAY_S = 0.2  # times the number of refusals of the order so far
 MAX_BACKOFF_S = 2.0
-FENCED_RETRY_DELAY_S = 0.5  # while the primary of the higher term is looked for
-MAX_UNREACHED_ATTEMPTS = 3  # of a start for which nothing listens at the worker's address
+FENCED_RETRY_DELAY_S = 0.5  # until the primary of the higher term is found
+MAX_UNREACHED_ATTEMPTS = 3  # of a start while the worker's address refuses connections
 MAX_UNHEALTHY_ATTEMPTS = 3
-MIN_LEASE_S = 0.5  # nothing is started that would lapse sooner
-MAX_COMPLETED_ORDERS = 5000  # ends of orders remembered for the case that they are repeated
+MIN_LEASE_S = 0.5  # no run is started with a lease that would expire sooner
+MAX_COMPLETED_ORDERS = 5000  # kept to answer repeated orders
 
 
 class OrderOutcome:
-    """How an order ended; see `OrderResult`."""
+    """The outcome of an order; see `OrderResult`."""
 
     STARTED = "started"
     STOPPED = "stopped"
@@ -56,14 +57,14 @@
 
 
 class OrderKind:
-    """Which order a result is of; see `OrderResult`."""
+    """The kind of order to which a result belongs; see `OrderResult`."""
 
     START = "start"
     STOP = "stop"
 
 
 class CompletedOrder(Struct):
-    """An order that has ended; told of until a report with it was answered, and again if the order is repeated."""
+    """A completed order: reported until a report with it is answered, and again if the primary repeats the order."""
 
     result: OrderResult
     to_report: bool = True
@@ -71,37 +72,37 @@
 
 @dataclass(eq=False)
 class _RunOrders:
-    """Orders for one run of a task that have not ended."""
+    """The open orders for one run of a task."""
 
     key: RunKey
     sequence: int
     due_at: float
     start: StartOrder | None = None
     stop_ordered: bool = False
-    refusal: str = ""  # of a start that may yet be carried out: it is stopped first
-    start_unanswered: bool = False  # a start call got no answer, here or in an earlier process of this agent
+    refusal: str = ""  # outcome of a refused start that may still be executed: the run is stopped first
+    start_unanswered: bool = False  # a start call may have had no answer, from this or an earlier process of this agent
     start_under_way: bool = False
     stop_under_way: bool = False
-    unanswered_calls: int = 0  # calls in a row without answer
-    refusals: int = 0  # answers that nothing was done
+    unanswered_calls: int = 0  # consecutive calls without an answer
+    refusals: int = 0  # answers by which the worker did not execute the order
 
     @property
     def wants_stop(self) -> bool:
-        """Whether a stop is what comes next."""
+        """Whether the next call is a stop."""
         return self.stop_ordered or bool(self.refusal)
 
     @property
     def under_way(self) -> bool:
-        """Whether the call that comes next has been sent already."""
+        """Whether a call of the kind that is due next is pending."""
         return self.stop_under_way if self.wants_stop else self.start_under_way
 
     def timeout(self, usual: float) -> float:
-        """How long the next call may take, where a first one may take the `usual` time."""
+        """The time-out of the next call; `usual` is the time-out of a first call."""
         return min(LONGEST_TIMEOUT_S, usual * TIMEOUT_GROWTH_FACTOR**self.unanswered_calls)
 
 
 class OrderDispatcher:
-    """Orders for the present life of the worker, under the present term."""
+    """Sends the orders of the current term to the current worker instance."""
 
     def __init__(
         self,
@@ -112,7 +113,10 @@
         leases: LeaseManager,
         on_change: Callable[[bool], None],
     ) -> None:
-        """`on_change` is told after each answer, with whether the worker has seen a higher fence."""
+        """`on_change` is called after each answer and each timer.
+
+        Its argument is whether the worker refused the call because it knows a higher fencing token.
+        """
         self._clock = clock
         self._client = client
         self._instances = instances
@@ -129,21 +133,21 @@
         self._stopped = False
 
     def set_fence(self, term: int) -> None:
-        """Begin a new term: the orders of the old one are void, its primary's successor sends its own."""
+        """Begin a new term: the orders of the old one are discarded, as the new primary sends its own."""
         self._fence = term
         self._completed.clear()
         self._drop_open()
 
     def instance_ended(self) -> None:
-        """The life that the open orders are for is over."""
+        """The worker instance to which the open orders belong has ended."""
         self._complete_all_as_gone()
         self._drop_open()
 
     def receive(self, instance: str, starts: list[StartOrder], stops: list[StopOrder]) -> None:
-        """Take orders for the life `instance`; those that are known already change nothing."""
+        """Add orders for the worker instance with that id; an order that is already open changes nothing."""
         worker = self._instances.current
         if not instance or (worker is None and not self._instances.has_ended(instance)):
-            return  # the worker is not known yet; the primary repeats its orders
+            return  # the instance is not known yet; the primary repeats its orders
         gone = worker is None or worker.instance != instance or worker.replaced
         for stop in stops:
             self._receive_stop(stop, gone)
@@ -151,29 +155,29 @@
             self._receive_start(start, gone)
 
     def results(self) -> list[CompletedOrder]:
-        """Ends of orders that no answered report has told of."""
+        """Completed orders that no answered report has contained."""
         return [completed for completed in self._completed.values() if completed.to_report]
 
     def consume_new_results(self) -> bool:
-        """Whether an order has ended since this was asked last; one told of again is no news."""
-        news, self._has_new_results = self._has_new_results, False
-        return news
+        """Whether an order has completed since the last call; orders reported again do not count."""
+        had_new_results, self._has_new_results = self._has_new_results, False
+        return had_new_results
 
     def mark_reported(self, completed_orders: list[CompletedOrder]) -> None:
-        """A report that told of these was answered."""
+        """A report that contained these was answered."""
         for completed in completed_orders:
             completed.to_report = False
 
     def open_orders(self) -> int:
-        """How many runs have orders that have not ended."""
+        """The number of runs with open orders."""
         return len(self._open)
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Discard all orders and send no more calls."""
         self._stopped = True
         self._drop_open()
 
-    # ---- orders in
+    # ---- received orders
 
     def _receive_stop(self, order: StopOrder, gone: bool) -> None:
         key = (order.task, order.run)
@@ -205,7 +209,7 @@
             self._open[key] = run_orders
 
     def _report_again(self, key: RunKey, kind: str) -> bool:
-        """Whether that order has ended; then the next report, whenever it goes, tells of it again."""
+        """Return whether that order has completed; if so, the next regular report contains its result again."""
         completed = self._completed.get((key, kind))
         if completed is None:
             return False
@@ -213,7 +217,7 @@
             self._completed[key, kind] = CompletedOrder(completed.result)
         return True
 
-    # ---- ends of orders
+    # ---- completed orders
 
     def _complete(self, key: RunKey, kind: str, outcome: str, at_hold: int = 0) -> None:
         task, run = key
@@ -223,18 +227,20 @@
             del self._completed[next(iter(self._completed))]
 
     def _complete_start(self, run_orders: _RunOrders, outcome: str) -> None:
-        """The start has ended for certain."""
+        """Complete a start with a final outcome, to be confirmed by the lists of the next hold call."""
         self._complete(run_orders.key, OrderKind.START, outcome, self._leases.next_call_number())
         del self._open[run_orders.key]
 
     def _refuse(self, run_orders: _RunOrders, outcome: str) -> None:
-        """The start was refused; if an earlier call may yet be carried out, that is prevented first."""
+        """Complete a refused start; if an earlier call may still be executed, the run is stopped first."""
         if run_orders.start_unanswered:
             run_orders.refusal = outcome
             run_orders.refusals = 0
             run_orders.due_at = self._clock.now()
         else:
-            self._complete(run_orders.key, OrderKind.START, outcome)  # it never was: no lists need to confirm that
+            self._complete(
+                run_orders.key, OrderKind.START, outcome
+            )  # the run never started, which no lists need to confirm
             del self._open[run_orders.key]
 
     def _complete_all_as_gone(self) -> None:
@@ -246,20 +252,20 @@
         self._open.clear()
 
     def drop_starts(self) -> None:
-        """Forget starts that have not ended: the worker's holds have lapsed, and calls in the air are too late."""
+        """Discard open starts: the task leases have expired, and calls on their way arrive after their deadline."""
         for key in [key for key, run_orders in self._open.items() if not run_orders.wants_stop]:
             del self._open[key]
 
     def _drop_open(self) -> None:
-        """Forget open orders, and the calls under way for them."""
+        """Discard open orders and their pending calls."""
         self._open.clear()
         self._under_way.clear()
         self._set_timer(None)
 
-    # ---- calls out
+    # ---- calls to the worker
 
     def drive(self) -> None:
-        """Send what is due now, stops first, and wake up when the next is."""
+        """Send the calls that are due now, stops first, and set a timer for the next one."""
         worker = self._instances.current
         if worker is None or self._stopped:
             return
@@ -276,9 +282,9 @@
         self._set_timer(min((waiting.due_at for waiting in self._open.values() if waiting.due_at > now), default=None))
 
     def _refuse_unsent_starts(self) -> None:
-        """Refuse starts on a draining worker, but for runs that turn out to be there."""
+        """Refuse starts on a draining worker, except for runs that are already there."""
         if not self._leases.worker_has_fence():
-            return  # what runs there isn't known, and starts of an earlier term may yet be carried out
+            return  # its runs are not known, and it may still execute starts of an earlier term
         for run_orders in list(self._open.values()):
             if run_orders.wants_stop or run_orders.start_under_way:
                 continue
@@ -300,13 +306,16 @@
         return sorted(due, key=lambda waiting: (not waiting.wants_stop, waiting.due_at, waiting.sequence))
 
     def _may_start(self, worker: WorkerInstance) -> bool:
-        """Whether the worker has told of itself and of what runs there, stays, answers, and may be held."""
+        """Whether starts may be sent.
+
+        The worker has sent a heartbeat and its lists, is not draining, answers calls, and the grant permits a lease.
+        """
         known = worker.info is not None and self._leases.worker_has_fence()
         serves = not worker.draining and not self._leases.is_silent()
         return known and serves and self._start_deadline(worker) is not None
 
     def _start_deadline(self, worker: WorkerInstance) -> Deadline | None:
-        """The deadline that a start carries; None while it would be too near."""
+        """The lease deadline for a start; None if it would be too early or none is permitted."""
         deadline = self._grant.deadline(worker)
         if deadline is None or deadline.until - self._clock.now() < MIN_LEASE_S:
             return None
@@ -376,9 +385,9 @@
         if reply.status == NO_ANSWER and not reply.refused:
             run_orders.start_unanswered = True
         if reply.status == OK or (reply.status == NO_ANSWER and run_orders.start_unanswered):
-            self._leases.expect_run(run_orders.key)  # if the worker stays silent, it lapses
+            self._leases.expect_run(run_orders.key)  # if the worker stops answering, the run counts as expired
         if run_orders.wants_stop:
-            return  # the stop decides
+            return  # the outcome of the stop counts
         if reply.status == OK:
             self._complete_start(run_orders, OrderOutcome.STARTED)
         elif reply.status == NO_ANSWER:
@@ -399,12 +408,12 @@
     def _handle_conflict(self, run_orders: _RunOrders, reply: WorkerReply) -> None:
         if reply.reason == "old":
             self._complete_start(run_orders, OrderOutcome.STALE)
-            self._leases.request_refresh()  # it may be old because it has run
+            self._leases.request_refresh()  # the run may be refused because it has already run
         elif reply.reason == "room":
             self._refuse(run_orders, OrderOutcome.NO_CAPACITY)
         elif reply.reason == "late":
             self._retry_refused(run_orders)
-            run_orders.refusals = 0  # the answer told the worker's clock: the next deadline is in time
+            run_orders.refusals = 0  # the answer contained the worker's clock, so the next deadline will be valid
         else:
             run_orders.due_at = self._clock.now() + FENCED_RETRY_DELAY_S
 
@@ -414,7 +423,7 @@
         elif reply.status == WRONG_INSTANCE:
             self._complete_as_gone(run_orders)
         elif reply.status == NO_ANSWER:
-            self._leases.expect_run(run_orders.key)  # if the worker stays silent, it lapses
+            self._leases.expect_run(run_orders.key)  # if the worker stops answering, the run counts as expired
             self._retry_unanswered(run_orders, reply)
         elif _is_fenced(reply):
             run_orders.due_at = self._clock.now() + FENCED_RETRY_DELAY_S
@@ -422,7 +431,7 @@
             self._retry_refused(run_orders)
 
     def _complete_stopped(self, run_orders: _RunOrders) -> None:
-        """The worker will end the run if it is there, and never start it any more."""
+        """The worker has confirmed the stop: it ends the run if it is running, and never starts it later."""
         key = run_orders.key
         at_hold = self._leases.next_call_number()
         if run_orders.refusal:
@@ -431,7 +440,7 @@
             self._complete(key, OrderKind.STOP, OrderOutcome.STOPPED, at_hold)
         del self._open[key]
         if not self._leases.runs(key):
-            self._leases.request_refresh()  # no end may come that would answer the poll
+            self._leases.request_refresh()  # it may not be running, and then no ended run answers the poll
 
     def _complete_as_gone(self, run_orders: _RunOrders) -> None:
         if run_orders.refusal:
@@ -457,7 +466,7 @@
         if when is None:
             self._timer = None
             return
-        # a clock that is read a trifle early must not make this spin
+        # the minimum prevents a busy loop when the timer fires slightly before its time
         self._timer = self._clock.at(max(when, self._clock.now() + SHORTEST_TIMER_S), self._due_again)
 
     def _due_again(self) -> None:
--- a/pipitledge/agent/poll_wait.py
+++ b/pipitledge/agent/poll_wait.py
@@ -1,31 +1,31 @@
-"""How long a poll of the worker should wait for an end, learned from how long polls had to wait.
+"""Estimates how long a poll of the worker should wait for a run to end, from the durations of earlier polls.
 
-A poll that got lost on its way hides all ends until its time is over. So a poll waits little longer than it usually
-takes until an end comes: long where tasks last, short where they end all the time.
+If a poll is lost, no ended run becomes known until the poll times out. So a poll waits only somewhat longer than it
+typically takes until a run ends: long if the runs are long, short if runs end frequently.
 """
 
 from __future__ import annotations
 
-LONGEST_WAIT_S = 2.0  # a worker waits no longer for an end
+LONGEST_WAIT_S = 2.0  # the longest that a worker delays its answer
 SHORTEST_WAIT_S = 0.2
-SAMPLE_WEIGHT = 0.25  # of a new sample in the usual time
-WAIT_FACTOR = 2.0  # times the usual time that a poll waits
-EMPTY_FACTOR = 2.0  # times its wait that a poll without an end counts for
+SAMPLE_WEIGHT = 0.25  # of a new sample in the moving average
+WAIT_FACTOR = 2.0  # a poll waits this many times the typical duration
+EMPTY_FACTOR = 2.0  # a poll during which no run ended counts as this many times its wait
 
 
 class PollWaitEstimator:
-    """The usual time until a poll is answered by an end, at one life of a worker; all figures in seconds."""
+    """Moving average of the time until a run ends, for one worker instance; all times in seconds."""
 
     def __init__(self) -> None:
-        """Begin with the longest waits."""
+        """Start with the longest wait."""
         self._typical_s = LONGEST_WAIT_S / WAIT_FACTOR
 
     def ended(self, seconds: float) -> None:
-        """A poll was answered by an end after so long."""
+        """A poll was answered after `seconds` because a run ended."""
         self._add_sample(seconds)
 
     def empty(self, wait_s: float) -> None:
-        """A poll waited so long, and no end came."""
+        """A poll waited for `wait_s` and no run ended."""
         self._add_sample(EMPTY_FACTOR * wait_s)
 
     @property
--- a/pipitledge/agent/reporter.py
+++ b/pipitledge/agent/reporter.py
@@ -1,4 +1,4 @@
-"""Reports to the primary: at once after news, otherwise often enough that the grant to hold tasks stays fresh."""
+"""Sends reports to the primary: at once after a change, otherwise often enough that the lease grant does not expire."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from pipitledge.runtime.ports import Clock, Timer
 from pipitledge.wire.messages import AgentOrders, AgentReport
 
-COALESCE_S = 0.005  # news that come together go in one report
+COALESCE_S = 0.005  # changes within this time share a report
 REPORT_TIMEOUT_S = 1.5
 INITIAL_RETRY_DELAY_S = 0.1
 MAX_RETRY_DELAY_S = 0.5
@@ -18,22 +18,22 @@
 
 
 class CallOutcome(Protocol):
-    """What became of a call to the primary."""
+    """The result of a call to the primary."""
 
     @property
     def reply(self) -> Struct | None:
-        """The primary's answer, if there was one."""
+        """The primary's answer; None if there was none in time."""
 
 
 class PrimaryCalls(Protocol):
-    """Calls that find the primary."""
+    """Calls to the current primary, wherever it is."""
 
     def call(self, request: Struct, patience_s: float, on_done: Callable[[CallOutcome], None]) -> None:
-        """Send to whichever node is primary; `on_done` comes once, in `patience_s` seconds or little more."""
+        """Send to whichever node is primary; `on_done` is called once, within about `patience_s` seconds."""
 
 
 class Reporter:
-    """Sends reports, one at a time."""
+    """Schedules and sends reports, one at a time."""
 
     def __init__(
         self,
@@ -43,7 +43,10 @@
         on_answer: Callable[[AgentReport, AgentOrders], bool],
         interval: Callable[[], float],
     ) -> None:
-        """`on_answer` tells whether it took the answer; a report whose answer was not taken is sent again."""
+        """`build` makes the next report, `interval` returns the longest time in seconds between two reports.
+
+        `on_answer` returns whether it accepted the answer; otherwise a new report is sent, as after a failed call.
+        """
         self._clock = clock
         self._primary = primary
         self._build = build
@@ -53,26 +56,26 @@
         self._due_at: float | None = None
         self._not_before = 0.0
         self._under_way = False
-        self._report_requested = False  # since the report under way was made
+        self._report_requested = False  # since the pending report was built
         self._failures = 0
         self._stopped = False
 
     def request_report(self) -> None:
-        """There are news."""
+        """Request a report without delay because something has changed."""
         if self._under_way:
             self._report_requested = True
         elif not self._failures or self._due_at is None:
             self._schedule(self._clock.now() + COALESCE_S)
 
     def postpone(self, seconds: float) -> None:
-        """Send none for a while, unless released."""
+        """Send no report for that time, unless `release` is called earlier."""
         self._not_before = self._clock.now() + seconds
         if not self._under_way and self._due_at is not None:
             due_at, self._due_at = self._due_at, None
             self._schedule(due_at)
 
     def release(self) -> None:
-        """What the next report waited for is there."""
+        """End the delay set by `postpone`: the next report can be sent."""
         if self._clock.now() < self._not_before:
             self._not_before = 0.0
             self.request_report()
@@ -83,7 +86,7 @@
         self._cancel()
 
     def _schedule(self, when: float) -> None:
-        """Send at `when`, or earlier where that was planned."""
+        """Send a report at `when`, unless an earlier one is scheduled already."""
         when = max(when, self._not_before)
         if self._stopped or (self._due_at is not None and self._due_at <= when):
             return
--- a/pipitledge/agent/worker_client.py
+++ b/pipitledge/agent/worker_client.py
@@ -1,4 +1,4 @@
-"""Calls to the worker: typed bodies out, typed answers in, and what every answer tells of the worker's life."""
+"""HTTP calls to the worker: encodes bodies, decodes answers, and updates the state of the worker instance from them."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 
 class WorkerReply(Struct):
-    """How a call to the worker ended; after `NO_ANSWER` it may still be carried out, unless `refused`."""
+    """The result of a call to the worker; after `NO_ANSWER` the worker may still execute it, unless `refused`."""
 
     status: int
     reason: str = ""
-    refused: bool = False  # no connection was made
+    refused: bool = False  # the connection was refused, so the call did not reach the worker
     body: bytes = b""
 
 
 class WorkerClient:
-    """The way to the worker."""
+    """Calls the worker beside this agent."""
 
     def __init__(self, clock: Clock, calls: WorkerCalls) -> None:
-        """Call through the port `calls`."""
+        """`calls` is the port that makes the HTTP requests."""
         self._clock = clock
         self._calls = calls
 
@@ -44,9 +44,9 @@
         on_reply: Callable[[WorkerReply], None],
         waits: bool = False,
     ) -> None:
-        """Call that life of the worker; `on_reply` comes once, within `timeout` seconds.
+        """Call that worker instance; `on_reply` is called once, within `timeout` seconds.
 
-        A call that `waits` is answered when something happens, and so tells nothing of how fast the worker answers.
+        `waits` marks a long poll: the worker delays its answer, so its duration is no sample of the response time.
         """
         sent_at = self._clock.now()
 
@@ -73,7 +73,7 @@
 
 
 def _read_answer(body: bytes) -> AnswerBody:
-    """What every answer carries; nothing, if it can't be read."""
+    """Decode the fields common to all answers; return the defaults if the body is malformed."""
     try:
         return msgspec.json.decode(body, type=AnswerBody)
     except msgspec.DecodeError:
--- a/pipitledge/agent/worker_clock.py
+++ b/pipitledge/agent/worker_clock.py
@@ -1,35 +1,35 @@
-"""The worker's steady clock, as far as its agent can know it."""
+"""The agent's estimate of the worker's monotonic clock."""
 
 from __future__ import annotations
 
 import math
 
-MIN_CLOCK_RATE = 0.98  # a worker's clock may run this slowly against the agent's, and never faster
+MIN_CLOCK_RATE = 0.98  # slowest assumed rate of a worker's clock relative to the agent's; the fastest is 1
 MS_PER_S = 1000.0
 
 
 class WorkerClock:
-    """A lower bound of the clock of one life of a worker, from the readings that its messages carry."""
+    """A lower bound of the clock of one worker instance, from the clock readings in its messages."""
 
     def __init__(self) -> None:
-        """Begin without a reading."""
+        """Start without a reading."""
         self._reading_ms: float | None = None
         self._received = 0.0
 
     def record_reading(self, clock_ms: float, received: float) -> None:
-        """Take a reading made at some time up to `received` (agent's clock); the one that says most is kept."""
+        """Record a reading taken no later than `received` (agent's clock); the one with the highest bound is kept."""
         known = self.lower_bound_ms(received)
         if known is None or clock_ms >= known:
             self._reading_ms = clock_ms
             self._received = received
 
     def lower_bound_ms(self, when: float) -> float | None:
-        """What the worker's clock shows at least, at `when` on the agent's; None without a reading."""
+        """The lowest possible time on the worker's clock when the agent's shows `when`; None without a reading."""
         if self._reading_ms is None:
             return None
         return self._reading_ms + MIN_CLOCK_RATE * MS_PER_S * (when - self._received)
 
     def deadline_ms(self, until: float) -> int | None:
-        """A time on the worker's clock that has come, at any rate, when the agent's shows `until`."""
+        """A time that the worker's clock has reached when the agent's shows `until`; None without a reading."""
         bound = self.lower_bound_ms(until)
         return None if bound is None else math.floor(bound)
--- a/pipitledge/agent/worker_instance.py
+++ b/pipitledge/agent/worker_instance.py
@@ -1,4 +1,4 @@
-"""The lives of the worker beside this agent: told by its heartbeats, each under an id of its own."""
+"""The instances of the worker beside this agent: each start of the worker has its own id, sent in heartbeats."""
 
 from __future__ import annotations
 
@@ -14,47 +14,47 @@
 from pipitledge.wire.messages import WorkerInfo
 
 NOT_ANNOUNCED = -1
-SILENT_AFTER_CALLS = 2  # unanswered in a row: a single order may be lost on its way
+SILENT_AFTER_CALLS = 2  # consecutive calls without an answer; a single call may have been lost
 
 
 class WorkerInstance:
-    """One life of the worker, from its start to its end or crash."""
+    """What the agent knows about one worker instance, from the start of the worker to its exit or crash."""
 
     def __init__(self, instance: str, last_heartbeat_at: float) -> None:
-        """Begin with the id alone; `info` is empty until a heartbeat of this life has come."""
+        """Start with the id alone; `info` is None until the first heartbeat of this instance arrives."""
         self.instance = instance
         self.info: WorkerInfo | None = None
         self.last_heartbeat_at = last_heartbeat_at
         self.clock = WorkerClock()
-        self.draining = False  # announced its end; no start may leave any more
-        self.leaving = False  # said goodbye; ends about now
-        self.replaced = False  # a call meant for this life was answered by another one
+        self.draining = False  # announced that it is draining; no start may be sent any more
+        self.leaving = False  # announced its exit, which follows shortly
+        self.replaced = False  # another instance answered a call addressed to this one
         self.response_times = ResponseTimeEstimator()
-        self.unanswered = 0  # calls in a row
-        self.connection_refused = False  # nothing listened at its address when it was called last
-        self.silent_since: float | None = None  # when the first of them was sent
+        self.unanswered = 0  # consecutive calls without an answer
+        self.connection_refused = False  # the connection of the last failed call was refused
+        self.silent_since: float | None = None  # when the first of the unanswered calls was sent
         self.answered_at = last_heartbeat_at
 
     @property
     def silent(self) -> bool:
-        """Whether it leaves calls unanswered, and not just one that may have been lost."""
+        """Whether more consecutive calls are unanswered than the loss of a single message explains."""
         return self.unanswered >= SILENT_AFTER_CALLS
 
     def silent_ms(self, now: float) -> int:
-        """How long it has been silent; 0 if it is not."""
+        """For how long it has not answered; 0 if it is not silent."""
         if not self.silent or self.silent_since is None:
             return 0
         return max(1, int((now - self.silent_since) * MS_PER_S))
 
     def call_answered(self, now: float) -> None:
-        """It answered a call, or a call to it was answered by another life."""
+        """This instance, or another one in its place, answered a call."""
         self.answered_at = now
         self.unanswered = 0
         self.connection_refused = False
         self.silent_since = None
 
     def call_unanswered(self, sent_at: float, now: float, refused: bool) -> None:
-        """It left a call unanswered; one that was sent before its last answer tells nothing."""
+        """A call timed out or was refused; a call sent before the last answer does not count as silence."""
         self.response_times.unanswered(sent_at, now)
         self.connection_refused = refused
         if self.answered_at > sent_at:
@@ -65,33 +65,33 @@
 
 
 class HeartbeatEffect(enum.Enum):
-    """What a heartbeat changed."""
+    """What a heartbeat changed; the values are part of log event names."""
 
-    IGNORED = "ignored"  # late, repeated, or of a life that is over
+    IGNORED = "ignored"  # late, repeated, or of an instance that has ended
     RENEWED = "renewed"
-    DRAINING = "draining"  # announced now
-    CONFIRMED = "confirmed"  # of a life that was known by its id alone
+    DRAINING = "draining"  # the first that announces draining
+    CONFIRMED = "confirmed"  # the first of an instance of which only the id was known
     NEW_INSTANCE = "new_life"
 
 
 class BadHeartbeat(Struct, frozen=True):
-    """A heartbeat that can't be read; `reason` names the place."""
+    """A malformed heartbeat; `reason` names the invalid field."""
 
     reason: str
 
 
 class InstanceTracker:
-    """The present life of the worker, and those known to be over."""
+    """Tracks the current instance of the worker and the instances known to have ended."""
 
     def __init__(self, clock: Clock) -> None:
-        """Begin with no life known."""
+        """Start without a known instance."""
         self._clock = clock
         self._ended: set[str] = set()
         self._unreported: list[str] = []
         self.current: WorkerInstance | None = None
 
     def heartbeat(self, instance: str, body: bytes) -> HeartbeatEffect | BadHeartbeat:
-        """Take a heartbeat; one that can't be read changes nothing."""
+        """Process a heartbeat; a malformed one changes nothing."""
         message = _read_heartbeat(body)
         if isinstance(message, BadHeartbeat):
             return message
@@ -103,12 +103,12 @@
         return self._renew(worker, message)
 
     def assume_current(self, instance: str) -> None:
-        """Take `instance` for the present life, as the primary does, until a heartbeat tells."""
+        """Assume that `instance` is the current one, as the primary does, until a heartbeat arrives."""
         if self.current is None and instance not in self._ended:
             self.current = WorkerInstance(instance, self._clock.now())
 
     def mark_ended(self, instance: str) -> None:
-        """That life is over for certain; it never comes back."""
+        """That instance has certainly ended; its id is never used again."""
         if instance not in self._ended:
             self._ended.add(instance)
             self._unreported.append(instance)
@@ -116,24 +116,27 @@
             self.current = None
 
     def has_ended(self, instance: str) -> bool:
-        """Whether that life is known to be over."""
+        """Whether that instance is known to have ended."""
         return instance in self._ended
 
     def report_again(self, instance: str) -> None:
-        """A primary takes this life for alive: the one that was told of its end may not have kept it."""
+        """Report the end of an instance again: the primary believes it alive.
+
+        An earlier primary received the report, but may have failed before it replicated the information.
+        """
         if instance in self._ended and instance not in self._unreported:
             self._unreported.append(instance)
 
     def unreported_ends(self) -> list[str]:
-        """Lives that are over and that no answered report has told of."""
+        """Ended instances that no answered report has contained."""
         return list(self._unreported)
 
     def ends_reported(self, instances: list[str]) -> None:
-        """A report that told of these was answered."""
+        """A report that contained these was answered."""
         self._unreported = [instance for instance in self._unreported if instance not in instances]
 
     def info(self) -> WorkerInfo | None:
-        """What the worker last told of itself, with its age."""
+        """The content of the latest heartbeat, with its age; None before the first one of the current instance."""
         worker = self.current
         if worker is None or worker.info is None:
             return None
@@ -141,7 +144,7 @@
         return msgspec.structs.replace(worker.info, heartbeat_age_ms=age_ms)
 
     def _begin_instance(self, instance: str, message: HeartbeatBody) -> HeartbeatEffect:
-        """A life never seen before: the one before it is over."""
+        """Switch to a new instance; the previous one has ended."""
         if self.current is not None:
             self.mark_ended(self.current.instance)
         self.current = WorkerInstance(instance, self._clock.now())
@@ -149,7 +152,7 @@
         return HeartbeatEffect.NEW_INSTANCE
 
     def _renew(self, worker: WorkerInstance, message: HeartbeatBody) -> HeartbeatEffect:
-        """A heartbeat of the present life."""
+        """Process a heartbeat of the current instance."""
         now = self._clock.now()
         if message.clock_ms is not None:
             worker.clock.record_reading(message.clock_ms, now)
@@ -166,7 +169,7 @@
         return HeartbeatEffect.DRAINING if newly_draining else HeartbeatEffect.RENEWED
 
     def _apply_late_heartbeat(self, info: WorkerInfo, newly_draining: bool) -> HeartbeatEffect:
-        """A heartbeat older than one that was seen: nothing but its announcement of the end counts."""
+        """Process a heartbeat older than the latest one: it only counts if it announces draining."""
         if not newly_draining:
             return HeartbeatEffect.IGNORED
         info.state = "draining"
@@ -176,7 +179,7 @@
 def _read_heartbeat(body: bytes) -> HeartbeatBody | BadHeartbeat:
     try:
         return msgspec.json.decode(body, type=HeartbeatBody)
-    except msgspec.DecodeError as error:  # a ValidationError too: its text ends in the place
+    except msgspec.DecodeError as error:  # or ValidationError; its text ends in the path of the field
         return BadHeartbeat(str(error))
 
 
--- a/pipitledge/agent/worker_messages.py
+++ b/pipitledge/agent/worker_messages.py
@@ -1,4 +1,4 @@
-"""What a worker and its agent say to each other in JSON; PROTOCOL.md of the operators lays it down."""
+"""JSON messages between a worker and its agent; they are specified in the operators' PROTOCOL.md."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 START_PATH = "/pipitledge/run-start"
 STOP_PATH = "/pipitledge/run-stop"
 HOLD_PATH = "/pipitledge/hold"
-MAX_ENDS_PER_ANSWER = 500  # a worker sends at most this many ends in one answer
+MAX_ENDS_PER_ANSWER = 500  # a worker lists at most this many ended runs in one answer
 
 
 class Capacity(Struct, rename="camel", frozen=True):
-    """What a worker has for tasks."""
+    """Resource capacity of a worker for tasks."""
 
     cpu: int = 0
     memory_limit_mb: int = 0
@@ -23,7 +23,7 @@
 
 
 class HeartbeatBody(Struct, rename="camel"):
-    """A worker's account of itself; what is 0, false or empty may be left out."""
+    """Heartbeat of a worker; fields that are 0, false or empty may be omitted."""
 
     service: str
     state: Literal["ready", "draining"]
@@ -51,7 +51,7 @@
 
 
 class StopBody(Struct, rename="camel"):
-    """Order to stop one run of a task, or to make its start impossible."""
+    """Order to stop one run of a task; if it has not started, the worker must never start it."""
 
     task: str
     run_id: int
@@ -59,7 +59,10 @@
 
 
 class HoldBody(Struct, rename="camel", omit_defaults=True):
-    """Keep what runs until `deadline_ms` on the worker's clock, and tell what runs and what ended."""
+    """Extend the leases of all runs until `deadline_ms` on the worker's clock, and request the lists of runs.
+
+    `last_seen` acknowledges ended runs up to that number. With `wait_ms` the worker answers when the next run ends.
+    """
 
     fence_token: int
     last_seen: int
@@ -68,14 +71,14 @@
 
 
 class AnswerBody(Struct, rename="camel"):
-    """What every answer of a worker carries."""
+    """Fields common to all answers of a worker."""
 
     clock_ms: float | None = None
     reason: str = ""
 
 
 class RunningEntry(Struct, array_like=True):
-    """One run that is there."""
+    """One running run in the answer to a hold call."""
 
     task: str
     run: int
@@ -83,12 +86,12 @@
     percent: float = 0.0
 
     def typed(self) -> RunningTask:
-        """The entry as agents report it."""
+        """Convert to the message type of agent reports."""
         return RunningTask(self.task, self.run, self.saved, self.percent)
 
 
 class FinishedEntry(Struct, array_like=True):
-    """One run that has ended."""
+    """One ended run in the answer to a hold call."""
 
     number: int
     task: str
@@ -97,12 +100,12 @@
     saved: str = ""
 
     def typed(self) -> FinishedTask:
-        """The entry as agents report it."""
+        """Convert to the message type of agent reports."""
         return FinishedTask(self.number, self.task, self.run, self.how, self.saved)
 
 
 class HoldAnswer(Struct, rename="camel"):
-    """Answer to a hold."""
+    """Answer to a hold call."""
 
     running: list[RunningEntry] = []
     finished: list[FinishedEntry] = []
