--- a/pipitledge/agent/lease_manager.py
+++ b/pipitledge/agent/lease_manager.py
@@ -44,7 +44,7 @@
 MAX_BACKOFF_S = 2.0
 SILENT_AFTER_FAILURES = 2  # a single call may have been lost
 EXPIRY_CHECK_DELAY_S = 0.01  # after the leases expire; then the expiry is reported
-MISSED_HEARTBEATS = 3  # a worker that sends none for so long is not called once its leases have expired
+MISSED_HEARTBEATS = 3  # a worker that misses so many in a row is not called once its leases have expired
 
 SHORTEST_TIMER_S = 0.001
 
@@ -199,13 +199,13 @@
         """Whether the worker may be running any run, as last known."""
         return bool(self.lists.running or self._expected)
 
-    def runs(self, key: RunKey) -> bool:
+    def is_running(self, key: RunKey) -> bool:
         """Whether the latest lists name that run as running."""
         return any((entry.task, entry.run) == key for entry in self.lists.running)
 
-    def has_seen(self, key: RunKey) -> bool:
+    def has_listed(self, key: RunKey) -> bool:
         """Whether the lists name that run as running or ended."""
-        return self.runs(key) or any((end.task, end.run) == key for end in self._ends.values())
+        return self.is_running(key) or any((end.task, end.run) == key for end in self._ends.values())
 
     def finished(self) -> list[FinishedTask]:
         """All ended runs that the primary has not acknowledged."""
@@ -278,8 +278,8 @@
     def _refresh_is_due(self) -> bool:
         if not self.worker_has_fence():
             return True
-        under_way = self._poll_call.number if self._poll_call is not None else 0
-        return self._refresh_number > max(self.lists.number, under_way)
+        pending_number = self._poll_call.number if self._poll_call is not None else 0
+        return self._refresh_number > max(self.lists.number, pending_number)
 
     def _renewal_is_due(self) -> bool:
         return self.may_run() and self._extension_s() >= MIN_EXTENSION_S and self._clock.now() >= self._renewal_at()
@@ -413,7 +413,7 @@
         self._worker_fence = max(self._worker_fence, call.fence)
         if call.number > self.lists.number:
             has_news = has_news or self.lists.number < self._confirming_number <= call.number
-            running = [entry.typed() for entry in answer.running]
+            running = [entry.to_message() for entry in answer.running]
             self.lists = RunLists(call.number, call.fence, call.sent_at, running)
         ended = self._record_ends(answer.finished)
         self._record_poll_time(call, ended)
@@ -435,7 +435,7 @@
         for entry in entries:
             self._last_end = max(self._last_end, entry.number)
             if entry.number > self.acknowledged:
-                self._ends[entry.number] = entry.typed()
+                self._ends[entry.number] = entry.to_message()
         if len(entries) >= MAX_ENDS_PER_ANSWER:
             self._more_ends = True
         ended = {(entry.task, entry.run) for entry in entries}
--- a/pipitledge/agent/orders.py
+++ b/pipitledge/agent/orders.py
@@ -44,7 +44,7 @@
 
 
 class OrderOutcome:
-    """The outcome of an order; see `OrderResult`."""
+    """The outcome of an order as it is sent to the primary; see `OrderResult`."""
 
     STARTED = "started"
     STOPPED = "stopped"
@@ -81,8 +81,8 @@
     stop_ordered: bool = False
     refusal: str = ""  # outcome of a refused start that may still be executed: the run is stopped first
     start_unanswered: bool = False  # a start call may have had no answer, from this or an earlier process of this agent
-    start_under_way: bool = False
-    stop_under_way: bool = False
+    start_pending: bool = False
+    stop_pending: bool = False
     unanswered_calls: int = 0  # consecutive calls without an answer
     refusals: int = 0  # answers by which the worker did not execute the order
 
@@ -92,9 +92,9 @@
         return self.stop_ordered or bool(self.refusal)
 
     @property
-    def under_way(self) -> bool:
+    def is_pending(self) -> bool:
         """Whether a call of the kind that is due next is pending."""
-        return self.stop_under_way if self.wants_stop else self.start_under_way
+        return self.stop_pending if self.wants_stop else self.start_pending
 
     def timeout(self, usual: float) -> float:
         """The time-out of the next call; `usual` is the time-out of a first call."""
@@ -127,7 +127,7 @@
         self._open: dict[RunKey, _RunOrders] = {}
         self._completed: dict[tuple[RunKey, str], CompletedOrder] = {}
         self._has_new_results = False
-        self._under_way: set[int] = set()
+        self._pending_calls: set[int] = set()
         self._sequence = itertools.count()
         self._timer: Timer | None = None
         self._stopped = False
@@ -199,7 +199,7 @@
             return
         if gone:
             self._complete(key, OrderKind.START, OrderOutcome.GONE)
-        elif self._leases.has_seen(key):
+        elif self._leases.has_listed(key):
             self._complete(key, OrderKind.START, OrderOutcome.STARTED, self._leases.next_call_number())
         elif (key, OrderKind.STOP) in self._completed:
             self._complete(key, OrderKind.START, OrderOutcome.STALE, self._leases.next_call_number())
@@ -238,9 +238,8 @@
             run_orders.refusals = 0
             run_orders.due_at = self._clock.now()
         else:
-            self._complete(
-                run_orders.key, OrderKind.START, outcome
-            )  # the run never started, which no lists need to confirm
+            # the run has never started, which no lists need to confirm
+            self._complete(run_orders.key, OrderKind.START, outcome)
             del self._open[run_orders.key]
 
     def _complete_all_as_gone(self) -> None:
@@ -259,7 +258,7 @@
     def _drop_open(self) -> None:
         """Discard open orders and their pending calls."""
         self._open.clear()
-        self._under_way.clear()
+        self._pending_calls.clear()
         self._set_timer(None)
 
     # ---- calls to the worker
@@ -275,7 +274,7 @@
         if worker.draining:
             self._refuse_unsent_starts()
         for run_orders in self._due(worker):
-            if len(self._under_way) >= MAX_PARALLEL_CALLS:
+            if len(self._pending_calls) >= MAX_PARALLEL_CALLS:
                 break
             self._send(worker, run_orders)
         now = self._clock.now()
@@ -286,9 +285,9 @@
         if not self._leases.worker_has_fence():
             return  # its runs are not known, and it may still execute starts of an earlier term
         for run_orders in list(self._open.values()):
-            if run_orders.wants_stop or run_orders.start_under_way:
+            if run_orders.wants_stop or run_orders.start_pending:
                 continue
-            if self._leases.has_seen(run_orders.key):
+            if self._leases.has_listed(run_orders.key):
                 self._complete_start(run_orders, OrderOutcome.STARTED)
             else:
                 self._refuse(run_orders, OrderOutcome.DRAINING)
@@ -301,7 +300,7 @@
         due = [
             waiting
             for waiting in self._open.values()
-            if waiting.due_at <= now and not waiting.under_way and (waiting.wants_stop or may_start)
+            if waiting.due_at <= now and not waiting.is_pending and (waiting.wants_stop or may_start)
         ]
         return sorted(due, key=lambda waiting: (not waiting.wants_stop, waiting.due_at, waiting.sequence))
 
@@ -325,7 +324,7 @@
         if run_orders.wants_stop:
             self._send_stop(worker, run_orders)
             return
-        if self._leases.has_seen(run_orders.key):
+        if self._leases.has_listed(run_orders.key):
             self._complete_start(run_orders, OrderOutcome.STARTED)
             return
         deadline = self._start_deadline(worker)
@@ -337,11 +336,11 @@
     ) -> None:
         sent_at = self._clock.now()
         self._leases.record_sent_deadline(deadline.until)
-        run_orders.start_under_way = True
+        run_orders.start_pending = True
         body = StartBody(order.task, order.run, order.spec, deadline.worker_ms, self._fence, order.saved)
 
         def answered(reply: WorkerReply) -> None:
-            run_orders.start_under_way = False
+            run_orders.start_pending = False
             if reply.status == OK:
                 self._leases.record_confirmed_deadline(deadline.until, sent_at)
             self._handle_start_reply(run_orders, reply)
@@ -349,11 +348,11 @@
         self._call(worker, START_PATH, body, run_orders, answered)
 
     def _send_stop(self, worker: WorkerInstance, run_orders: _RunOrders) -> None:
-        run_orders.stop_under_way = True
+        run_orders.stop_pending = True
         task, run = run_orders.key
 
         def answered(reply: WorkerReply) -> None:
-            run_orders.stop_under_way = False
+            run_orders.stop_pending = False
             self._handle_stop_reply(run_orders, reply)
 
         self._call(worker, STOP_PATH, StopBody(task, run, self._fence), run_orders, answered)
@@ -367,10 +366,10 @@
         answered: Callable[[WorkerReply], None],
     ) -> None:
         call_id = next(self._sequence)
-        self._under_way.add(call_id)
+        self._pending_calls.add(call_id)
 
         def on_reply(reply: WorkerReply) -> None:
-            self._under_way.discard(call_id)
+            self._pending_calls.discard(call_id)
             if self._stopped:
                 return
             if self._open.get(run_orders.key) is run_orders:
@@ -439,7 +438,7 @@
         if run_orders.stop_ordered:
             self._complete(key, OrderKind.STOP, OrderOutcome.STOPPED, at_hold)
         del self._open[key]
-        if not self._leases.runs(key):
+        if not self._leases.is_running(key):
             self._leases.request_refresh()  # it may not be running, and then no ended run answers the poll
 
     def _complete_as_gone(self, run_orders: _RunOrders) -> None:
--- a/pipitledge/agent/reporter.py
+++ b/pipitledge/agent/reporter.py
@@ -55,14 +55,14 @@
         self._timer: Timer | None = None
         self._due_at: float | None = None
         self._not_before = 0.0
-        self._under_way = False
+        self._report_pending = False
         self._report_requested = False  # since the pending report was built
         self._failures = 0
         self._stopped = False
 
     def request_report(self) -> None:
         """Request a report without delay because something has changed."""
-        if self._under_way:
+        if self._report_pending:
             self._report_requested = True
         elif not self._failures or self._due_at is None:
             self._schedule(self._clock.now() + COALESCE_S)
@@ -70,7 +70,7 @@
     def postpone(self, seconds: float) -> None:
         """Send no report for that time, unless `release` is called earlier."""
         self._not_before = self._clock.now() + seconds
-        if not self._under_way and self._due_at is not None:
+        if not self._report_pending and self._due_at is not None:
             due_at, self._due_at = self._due_at, None
             self._schedule(due_at)
 
@@ -102,7 +102,7 @@
 
     def _send(self) -> None:
         self._cancel()
-        self._under_way = True
+        self._report_pending = True
         self._report_requested = False
         report = self._build()
         self._primary.call(report, REPORT_TIMEOUT_S, lambda outcome: self._done(report, outcome))
@@ -110,7 +110,7 @@
     def _done(self, report: AgentReport, outcome: CallOutcome) -> None:
         if self._stopped:
             return
-        self._under_way = False
+        self._report_pending = False
         orders = outcome.reply
         if isinstance(orders, AgentOrders) and self._on_answer(report, orders):
             self._failures = 0
--- a/pipitledge/agent/worker_messages.py
+++ b/pipitledge/agent/worker_messages.py
@@ -85,7 +85,7 @@
     saved: str = ""
     percent: float = 0.0
 
-    def typed(self) -> RunningTask:
+    def to_message(self) -> RunningTask:
         """Convert to the message type of agent reports."""
         return RunningTask(self.task, self.run, self.saved, self.percent)
 
@@ -99,7 +99,7 @@
     how: str
     saved: str = ""
 
-    def typed(self) -> FinishedTask:
+    def to_message(self) -> FinishedTask:
         """Convert to the message type of agent reports."""
         return FinishedTask(self.number, self.task, self.run, self.how, self.saved)
 
--- a/tests/system/agent_worker.py
+++ b/tests/system/agent_worker.py
@@ -1,7 +1,7 @@
-"""A worker after PROTOCOL.md and a primary, both in virtual time, for tests of the agent.
+"""Models of a worker (as PROTOCOL.md specifies it) and of a primary, in virtual time, for tests of the agent.
 
-The worker keeps a clock of its own, leaves calls unanswered and carries them out late where it is told to, crashes,
-drains, and lets its tasks lapse. It writes down all that an agent sends, and which runs it began.
+The worker has its own clock. A test can make it lose calls, execute them late, crash or drain. It ends runs when their
+leases expire, and records all calls of an agent and all runs that it started.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
 @dataclass
 class StartedRun:
-    """One run that the worker began."""
+    """One run that the worker started."""
 
     at: float
     instance: str
@@ -61,45 +61,45 @@
 
 @dataclass
 class LostCall:
-    """What is to happen to a call that gets no answer."""
+    """What happens to a call that gets no answer."""
 
-    carried_out_after: float | None = None  # seconds; None: never
+    carried_out_after: float | None = None  # seconds; None: it is never executed
 
 
 @dataclass
 class InstanceModel:
-    """What one life of the worker knows."""
+    """The state of one worker instance."""
 
     instance: str
     clock_offset_ms: float
     fence: int = 0
     deadline_ms: float = 0.0
     running: dict[str, Run] = field(default_factory=dict)
-    highest_barred_run: dict[str, int] = field(default_factory=dict)  # runs up to this never start
+    highest_barred_run: dict[str, int] = field(default_factory=dict)  # task -> runs up to this number never start
     ends: list[tuple[int, str, int, str, str]] = field(default_factory=list)
     next_end: int = 1
     waiting: list[Callable[[], None]] = field(default_factory=list)
     state: str = "ready"
-    state_acknowledged_at: float | None = None
+    draining_acknowledged_at: float | None = None
     sequence: int = 0
 
 
 class ModelWorker:
-    """The worker beside an agent."""
+    """Model of the worker beside an agent."""
 
     def __init__(self, world: World, rate: float = 0.98, capacity: int = 1000, hold_max_ms: float = 6000.0) -> None:
         self.world = world
         self.rate = rate
-        self.capacity = capacity  # runs at once
+        self.capacity = capacity  # maximum number of concurrent runs
         self.hold_max_ms = hold_max_ms
         self.stop_s = 0.2
         self.agent: Callable[[], Agent | None] = lambda: None
         self.listening = True
-        self.heard = True  # heartbeats reach the agent
-        self.unreachable = False  # calls neither arrive nor are answered
-        self.unhealthy = 0  # so many calls answered with 503
+        self.heartbeats_delivered = True  # whether heartbeats reach the agent
+        self.unreachable = False  # calls do not arrive
+        self.unhealthy = 0  # the number of calls that it still answers with 503
         self.lose_call: Callable[[Sent], LostCall | None] = lambda sent: None
-        self.forced_refusal: Callable[[Sent], str] = lambda sent: ""  # reason of a 409 that is not due
+        self.forced_refusal: Callable[[Sent], str] = lambda sent: ""  # reason of an injected answer 409
         self.answer_delay: Callable[[Sent], float] = lambda sent: WIRE_DELAY
         self.sent: list[Sent] = []
         self.started_runs: list[StartedRun] = []
@@ -107,7 +107,7 @@
         self.instance_model = self._new_instance_model()
         self._schedule_heartbeat()
 
-    # ---- its own course
+    # ---- instances, heartbeats and runs
 
     def _new_instance_model(self) -> InstanceModel:
         instance_model = InstanceModel(f"i-{len(self.instance_models) + 1}", self.world.random.uniform(0, 1e6))
@@ -118,7 +118,7 @@
         return (instance_model or self.instance_model).clock_offset_ms + self.world.time * 1000.0 * self.rate
 
     def time_of(self, instance_model: InstanceModel, clock_ms: float) -> float:
-        """Virtual time at which that life's clock shows `clock_ms`."""
+        """Virtual time at which the clock of that instance shows `clock_ms`."""
         return (clock_ms - instance_model.clock_offset_ms) / (1000.0 * self.rate)
 
     def _schedule_heartbeat(self) -> None:
@@ -131,11 +131,11 @@
         instance_model = self.instance_model
         instance_model.sequence += 1
         body = self.heartbeat_body(instance_model)
-        if self.heard:
+        if self.heartbeats_delivered:
             self.world.after(WIRE_DELAY, lambda: self.deliver(instance_model, body))
 
     def heartbeat_body(self, instance_model: InstanceModel) -> bytes:
-        told = {
+        body = {
             "service": "s",
             "address": "10.0.0.9:8080",
             "state": instance_model.state,
@@ -146,42 +146,42 @@
             "sequence": instance_model.sequence,
         }
         if instance_model.state == "draining":
-            told["remainingMs"] = 2000
-        return json.dumps(told).encode()
+            body["remainingMs"] = 2000
+        return json.dumps(body).encode()
 
     def deliver(self, instance_model: InstanceModel, body: bytes) -> None:
-        """A heartbeat reaches the agent, if there is one."""
+        """Deliver a heartbeat to the agent, if it is running."""
         agent = self.agent()
         if agent is None:
             return
         draining = b'"draining"' in body
 
         def acknowledged(status: int, answer: bytes) -> None:
-            if status == 200 and draining and instance_model.state_acknowledged_at is None:
-                instance_model.state_acknowledged_at = self.world.time
+            if status == 200 and draining and instance_model.draining_acknowledged_at is None:
+                instance_model.draining_acknowledged_at = self.world.time
 
         agent.heartbeat(instance_model.instance, body, acknowledged)
 
     def drain(self) -> None:
-        """Announce the end of this life."""
+        """Announce that this instance is draining."""
         self.instance_model.state = "draining"
         self.heartbeat()
 
     def leave(self) -> None:
-        """Say goodbye, and end shortly after."""
+        """Announce the exit, and end shortly afterwards."""
         agent = self.agent()
         if agent is not None:
             agent.leave(self.instance_model.instance, lambda status, body: None)
         self.world.after(0.05, self.end)
 
     def end(self) -> None:
-        """End, or crash: nothing runs any more."""
+        """End, or crash: all runs end without a trace."""
         self.listening = False
         self.instance_model.running.clear()
         self.instance_model.waiting.clear()
 
     def crash(self, restart_after: float = 0.5) -> None:
-        """Crash, and come back under a new id."""
+        """Crash, and restart as a new instance."""
         self.end()
         self.world.after(restart_after, self.restart)
 
@@ -191,7 +191,7 @@
         self.heartbeat()
 
     def finish(self, task: str, how: str = "done") -> None:
-        """A run ends by itself."""
+        """End a run as if its task had finished by itself."""
         self._end_run(self.instance_model, task, how)
 
     def _end_run(self, instance_model: InstanceModel, task: str, how: str) -> None:
@@ -220,14 +220,14 @@
     # ---- calls
 
     def calls(self, process: Process) -> ModelCalls:
-        """The port of one life of the agent's process."""
+        """The port for one process of the agent."""
         return ModelCalls(self, process)
 
     def calls_of_kind(self, kind: str) -> list[Sent]:
         return [sent for sent in self.sent if sent.kind == kind]
 
     def take(self, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
-        """Carry out a call that has arrived."""
+        """Execute a call that has arrived."""
         instance_model = self.instance_model
         if not self.listening:
             return
@@ -265,21 +265,21 @@
         answer(200, {"clockMs": int(self.clock_ms())})
 
     def _refusal(self, instance_model: InstanceModel, task: str, run: int, deadline_ms: float) -> str:
-        there = instance_model.running.get(task)
-        if there is not None and there.run == run:
+        running = instance_model.running.get(task)
+        if running is not None and running.run == run:
             return ""
         if deadline_ms <= self.clock_ms(instance_model):
             return "late"
-        if run <= instance_model.highest_barred_run.get(task, 0) or there is not None:
+        if run <= instance_model.highest_barred_run.get(task, 0) or running is not None:
             return "old"
         return "room" if len(instance_model.running) >= self.capacity else ""
 
     def _stop(self, instance_model: InstanceModel, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
         task, run = sent.body["task"], sent.body["runId"]
         instance_model.highest_barred_run[task] = max(instance_model.highest_barred_run.get(task, 0), run)
-        there = instance_model.running.get(task)
-        if there is not None and there.run == run and not there.stopping:
-            there.stopping = True
+        running = instance_model.running.get(task)
+        if running is not None and running.run == run and not running.stopping:
+            running.stopping = True
             self.world.after(self.stop_s, lambda: self._end_run(instance_model, task, "stopped"))
         answer(200, {"clockMs": int(self.clock_ms())})
 
@@ -308,7 +308,7 @@
 
 
 class ModelCalls:
-    """`WorkerCalls` of one agent process."""
+    """`WorkerCalls` for one process of the agent."""
 
     def __init__(self, worker: ModelWorker, process: Process) -> None:
         self._worker = worker
@@ -327,8 +327,8 @@
                 answers.append(answer)
                 self._process.deliver(lambda: on_answer(answer))
 
-        def answered(status: int, told: dict[str, Any]) -> None:
-            answer = WorkerAnswer(status, json.dumps(told).encode())
+        def answered(status: int, body: dict[str, Any]) -> None:
+            answer = WorkerAnswer(status, json.dumps(body).encode())
             world.after(worker.answer_delay(sent), lambda: end(answer))
 
         world.after(timeout, lambda: end(WorkerAnswer()))
@@ -341,19 +341,19 @@
         if loss is None:
             world.after(WIRE_DELAY, lambda: worker.take(sent, answered))
         elif loss.carried_out_after is not None:
-            world.after(loss.carried_out_after, lambda: worker.take(sent, lambda status, told: None))
+            world.after(loss.carried_out_after, lambda: worker.take(sent, lambda status, body: None))
 
 
 @dataclass
 class PrimaryOutcome:
-    """Outcome of a call to the primary."""
+    """Result of a call to the primary."""
 
     reply: Struct | None = None
     may_have_run: bool = True
 
 
 class ModelPrimary:
-    """A primary: answers reports, repeats its orders, and acknowledges ends."""
+    """Model of a primary: answers reports, repeats its orders, and acknowledges ended runs."""
 
     def __init__(self, world: World, grant_ms: int = 6000) -> None:
         self.world = world
@@ -368,8 +368,8 @@
         self.instance = ""
         self.acknowledged: dict[str, int] = {}
         self.delivered_acknowledgements: dict[str, int] = {}
-        self.most_under_way = 0  # reports of one process at once
-        self.granted_until = 0.0  # by answers that reached an agent (agent's clock)
+        self.most_under_way = 0  # most concurrent reports of one process
+        self.granted_until = 0.0  # end of the latest grant that reached an agent (agent's clock)
         self.on_report: Callable[[AgentReport], None] = lambda report: None
 
     @property
@@ -377,15 +377,15 @@
         return self.reports[-1]
 
     def results(self) -> list[tuple[str, int, str, str]]:
-        """All results ever reported, each once, in their order."""
-        told: dict[tuple[str, int, str, str], None] = {}
+        """All reported results without duplicates, in the order of their first report."""
+        reported: dict[tuple[str, int, str, str], None] = {}
         for report in self.reports:
             for result in report.results:
-                told[result.task, result.run, result.order, result.outcome] = None
-        return list(told)
+                reported[result.task, result.run, result.order, result.outcome] = None
+        return list(reported)
 
     def orders(self, report: AgentReport | None = None) -> AgentOrders:
-        """What the agent is to do."""
+        """The current orders for the agent: pushed, or as the answer to `report`."""
         return AgentOrders(
             term=self.term,
             primary="p",
@@ -401,7 +401,7 @@
         )
 
     def last_report_number(self) -> int:
-        """Number of the report heard last; orders sent by themselves carry it."""
+        """Number of the latest report received; pushed orders contain it."""
         return self.reports[-1].number if self.reports else 0
 
     def take(self, report: AgentReport) -> AgentOrders:
@@ -423,7 +423,7 @@
 
 
 class ModelPrimaryCalls:
-    """Calls to the primary from one agent process."""
+    """Calls to the primary from one process of the agent."""
 
     def __init__(self, primary: ModelPrimary, process: Process) -> None:
         self._primary = primary
@@ -457,7 +457,7 @@
 
 
 class EventRecorder:
-    """A log that keeps what is written."""
+    """A log that records its events."""
 
     def __init__(self) -> None:
         self.events: list[tuple[str, dict[str, object]]] = []
@@ -470,7 +470,7 @@
 
 
 class RecordedViews:
-    """Membership that keeps the views it is offered."""
+    """A membership that records the views that it is offered."""
 
     def __init__(self) -> None:
         self.offered: list[View] = []
@@ -480,7 +480,7 @@
 
 
 class Site:
-    """One machine with a worker, its agent, and a primary elsewhere."""
+    """A machine with a worker and its agent, and a remote primary."""
 
     def __init__(
         self, seed: int = 0, rate: float = 0.98, capacity: int = 1000, hold_max_ms: float = 6000.0, grant_ms: int = 6000
@@ -497,11 +497,11 @@
         self._incarnation = 0
 
     def start(self) -> None:
-        """Start the agent (again)."""
+        """Start or restart the agent."""
         self.machine.start(self._program)
 
     def kill(self) -> None:
-        """End the agent's process."""
+        """Kill the process of the agent."""
         self.machine.kill()
 
     def _program(self, process: Process) -> None:
@@ -524,7 +524,7 @@
         return self.agent if self.machine.running else None
 
     def push(self, orders: AgentOrders | None = None) -> OrdersReply:
-        """Send orders to the agent by themselves; its answer comes at once."""
+        """Push orders to the agent, and return its answer, which comes at once."""
         replies: list[Struct] = []
         message = copied(orders or self.primary.orders())
         self.primary.record_delivered(message)
@@ -538,17 +538,17 @@
         self.world.run_for(seconds)
 
     def settle(self) -> None:
-        """Start the agent, and let it learn of its worker and its primary; earlier holds have lapsed then."""
+        """Start the agent and run until it knows worker and primary, and leases of an earlier agent have expired."""
         self.start()
         self.world.run_for(8.0)
 
     def order_start(self, task: str, run: int = 1, saved: str = "", spec: str = "text") -> None:
-        """The primary orders a start, now and with each answer."""
+        """Make the primary order a start, now and with each answer."""
         self.primary.starts.append(StartOrder(task, run, spec, saved))
         self.push()
 
     def order_stop(self, task: str, run: int = 1) -> None:
-        """The primary orders a stop, now and with each answer."""
+        """Make the primary order a stop, now and with each answer."""
         self.primary.starts = [order for order in self.primary.starts if (order.task, order.run) != (task, run)]
         self.primary.stops.append(StopOrder(task, run))
         self.push()
--- a/tests/system/test_agent.py
+++ b/tests/system/test_agent.py
@@ -1,4 +1,4 @@
-"""The agent beside a worker, against a model of the worker and a primary, in virtual time."""
+"""Tests the agent against models of its worker and of the primary, in virtual time."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from tests.system.agent_worker import HEARTBEAT_S, LostCall, Sent, Site
 
 TICK = 0.0005
-NEVER = LostCall()
+NEVER_EXECUTED = LostCall()
 
 
 def first_calls(kind: str, count: int, loss: LostCall) -> Any:
-    """Leave the first `count` calls of that kind unanswered."""
+    """Lose the first `count` calls of that kind."""
     left = [count]
 
     def lose_call(sent: Sent) -> LostCall | None:
@@ -33,14 +33,14 @@
         self.answers: list[tuple[int, bytes]] = []
 
     def beat(self, instance: str, **fields: object) -> None:
-        told = {"service": "s", "state": "ready", "sequence": 100, **fields}
-        self.deliver(instance, json.dumps(told).encode())
+        body = {"service": "s", "state": "ready", "sequence": 100, **fields}
+        self.deliver(instance, json.dumps(body).encode())
 
     def deliver(self, instance: str, body: bytes) -> None:
         assert self.site.agent is not None
         self.site.agent.heartbeat(instance, body, lambda status, answer: self.answers.append((status, answer)))
 
-    def test_all_that_a_heartbeat_tells_is_reported(self) -> None:
+    def test_all_fields_of_a_heartbeat_are_reported(self) -> None:
         self.site.settle()
         worker = self.site.primary.last.worker
         assert worker is not None
@@ -48,7 +48,7 @@
         self.assertEqual((16000, 32768, 0), (worker.cpu, worker.memory_mb, worker.gpu))
         self.assertEqual((["a", "r1-3"], -1), (worker.labels, worker.remaining_ms))
 
-    def test_a_bad_body_is_refused_with_its_place_and_changes_nothing(self) -> None:
+    def test_a_malformed_heartbeat_is_refused_with_the_path_of_the_field_and_changes_nothing(self) -> None:
         self.site.settle()
         before = self.site.primary.last.worker
         self.beat("i-9", capacity={"cpu": "many"})
@@ -69,22 +69,22 @@
         assert self.site.primary.last.worker is not None
         self.assertEqual(5, self.site.primary.last.worker.slots)
 
-    def test_a_new_life_is_reported_at_once_and_the_old_one_as_over_until_that_was_answered(self) -> None:
+    def test_a_new_instance_is_reported_at_once_and_the_end_of_the_old_one_until_a_report_is_answered(self) -> None:
         self.site.settle()
         self.site.primary.reachable = False
         self.site.worker.crash(restart_after=0.2)
         self.site.run(4.0)
         self.site.primary.reachable = True
         self.site.run(2.1)
-        told = [report for report in self.site.primary.reports if report.ended_instances]
-        self.assertEqual(["i-1"], told[0].ended_instances)
-        self.assertEqual("i-2", told[0].worker and told[0].worker.instance)
-        self.assertEqual(1, len(told))
+        ended = [report for report in self.site.primary.reports if report.ended_instances]
+        self.assertEqual(["i-1"], ended[0].ended_instances)
+        self.assertEqual("i-2", ended[0].worker and ended[0].worker.instance)
+        self.assertEqual(1, len(ended))
         self.site.worker.crash(restart_after=0.2)
         self.site.run(0.22)
         self.assertIn(["i-2"], [report.ended_instances for report in self.site.primary.reports])
 
-    def test_a_delayed_heartbeat_of_an_old_life_does_not_bring_it_back(self) -> None:
+    def test_a_delayed_heartbeat_of_an_ended_instance_does_not_make_it_current(self) -> None:
         self.site.settle()
         self.site.worker.crash(restart_after=0.2)
         self.site.run(0.5)
@@ -95,7 +95,7 @@
         self.assertEqual("i-2", self.site.primary.last.worker.instance)
         self.assertFalse(any("i-2" in report.ended_instances for report in self.site.primary.reports))
 
-    def test_a_new_life_sees_the_fence_and_is_told_its_own_acknowledgements(self) -> None:
+    def test_a_new_instance_gets_the_fencing_token_and_only_its_own_acknowledgements(self) -> None:
         self.site.settle()
         self.site.order_start("a")
         self.site.run(1.0)
@@ -107,25 +107,25 @@
         hold = self.site.worker.calls_of_kind("hold")[-1]
         self.assertEqual(("i-2", 5, 0), (hold.instance, hold.body["fenceToken"], hold.body["lastSeen"]))
 
-    def test_a_call_answered_by_another_life_stops_all_calls_for_the_old_one(self) -> None:
+    def test_no_calls_are_sent_to_an_instance_after_another_instance_answered_in_its_place(self) -> None:
         self.site.settle()
         self.site.order_start("running")
         self.site.run(0.5)
         self.site.primary.starts.clear()
-        self.site.worker.heard = False
+        self.site.worker.heartbeats_delivered = False
         self.site.worker.crash(restart_after=0.2)
         self.site.run(3.5)
         self.site.order_start("a")
         self.site.order_start("b")
         self.site.run(1.0)
-        self.assertEqual(["running"], [started_runs.task for started_runs in self.site.worker.started_runs])
+        self.assertEqual(["running"], [run.task for run in self.site.worker.started_runs])
         gone = {task for task, _, _, outcome in self.site.primary.results() if outcome == "gone"}
         self.assertEqual({"a", "b"}, gone)
         calls = len(self.site.worker.sent)
         self.site.run(3.0)
         self.assertEqual(calls, len(self.site.worker.sent))
         self.assertEqual([], self.site.primary.last.ended_instances)
-        self.site.worker.heard = True
+        self.site.worker.heartbeats_delivered = True
         self.site.run(HEARTBEAT_S + 0.1)
         self.assertTrue(any("i-1" in report.ended_instances for report in self.site.primary.reports))
 
@@ -135,10 +135,10 @@
         self.site = Site()
         self.site.settle()
 
-    def test_no_start_leaves_once_draining_is_acknowledged(self) -> None:
+    def test_no_start_is_sent_after_draining_is_acknowledged(self) -> None:
         self.site.worker.drain()
         self.site.run(0.01)
-        self.assertIsNotNone(self.site.worker.instance_model.state_acknowledged_at)
+        self.assertIsNotNone(self.site.worker.instance_model.draining_acknowledged_at)
         self.site.order_start("a")
         self.site.run(1.0)
         self.assertEqual([], self.site.worker.calls_of_kind("run-start"))
@@ -151,8 +151,8 @@
         self.site.run(0.02)
         self.assertEqual("draining", self.site.primary.last.worker and self.site.primary.last.worker.state)
 
-    def test_starts_that_wait_for_their_turn_are_refused_then(self) -> None:
-        self.site.worker.lose_call = lambda sent: NEVER if sent.kind == "run-start" else None
+    def test_queued_starts_are_refused_when_the_worker_drains(self) -> None:
+        self.site.worker.lose_call = lambda sent: NEVER_EXECUTED if sent.kind == "run-start" else None
         for task in "abcdef":
             self.site.order_start(task)
         self.site.run(0.1)
@@ -161,7 +161,7 @@
         refused = {task for task, _, order, outcome in self.site.primary.results() if outcome == "draining"}
         self.assertEqual({"e", "f"}, refused)
 
-    def test_a_start_that_may_yet_be_carried_out_is_stopped_before_it_is_refused(self) -> None:
+    def test_a_start_that_may_still_be_executed_is_stopped_before_it_is_refused(self) -> None:
         self.site.worker.lose_call = first_calls("run-start", 1, LostCall(carried_out_after=4.0))
         self.site.order_start("a")
         self.site.run(0.1)
@@ -172,14 +172,14 @@
         self.assertEqual(1, len(self.site.worker.calls_of_kind("run-stop")))
         self.assertEqual([], self.site.worker.started_runs)
 
-    def test_a_draining_worker_is_held_until_it_leaves(self) -> None:
+    def test_task_leases_of_a_draining_worker_are_renewed(self) -> None:
         self.site.order_start("a")
         self.site.run(0.5)
         self.site.worker.drain()
         self.site.run(9.0)
         self.assertIn("a", self.site.worker.instance_model.running)
 
-    def test_a_life_that_said_goodbye_is_over_once_nothing_listens(self) -> None:
+    def test_an_instance_that_announced_its_exit_has_ended_when_connections_are_refused(self) -> None:
         self.site.order_start("a")
         self.site.run(0.5)
         self.site.worker.drain()
@@ -188,16 +188,16 @@
         self.site.run(0.04)
         self.assertEqual([], [report for report in self.site.primary.reports if report.ended_instances])
         self.site.run(4.0)
-        over = [report for report in self.site.primary.reports if report.ended_instances]
-        self.assertEqual(["i-1"], over[0].ended_instances)
-        self.assertIsNone(over[0].worker)
+        ended = [report for report in self.site.primary.reports if report.ended_instances]
+        self.assertEqual(["i-1"], ended[0].ended_instances)
+        self.assertIsNone(ended[0].worker)
 
-    def test_an_idle_life_that_said_goodbye_is_over_at_once(self) -> None:
+    def test_an_idle_instance_that_announced_its_exit_has_ended_at_once(self) -> None:
         self.site.worker.leave()
         self.site.run(0.02)
         self.assertEqual(["i-1"], self.site.primary.last.ended_instances)
 
-    def test_a_life_that_said_goodbye_and_goes_dark_is_over_when_its_tasks_have_lapsed(self) -> None:
+    def test_an_unreachable_instance_that_announced_its_exit_has_ended_when_its_leases_have_expired(self) -> None:
         self.site.order_start("a")
         self.site.run(0.5)
         self.site.worker.unreachable = True
@@ -212,17 +212,17 @@
         self.assertTrue(any(report.ended_instances == ["i-1"] for report in self.site.primary.reports))
 
 
-class Holding(unittest.TestCase):
+class TaskLeases(unittest.TestCase):
     def holds(self, site: Site) -> list[Sent]:
         return site.worker.calls_of_kind("hold")
 
-    def test_an_idle_worker_is_looked_at_once(self) -> None:
+    def test_an_idle_worker_gets_a_single_hold_call(self) -> None:
         site = Site()
         site.settle()
         site.run(30.0)
         self.assertEqual(1, len(site.worker.sent))
 
-    def test_tasks_are_kept_running_with_few_looks(self) -> None:
+    def test_tasks_are_kept_running_with_few_hold_calls(self) -> None:
         for rate in (0.98, 1.0):
             for hold_max_ms, most_holds in ((3000.0, 90), (6000.0, 38), (10000.0, 33)):
                 with self.subTest(rate=rate, hold_max_ms=hold_max_ms):
@@ -233,7 +233,7 @@
                     self.assertIn("a", site.worker.instance_model.running)
                     self.assertLess(len(self.holds(site)), most_holds)
 
-    def test_a_task_outlives_a_poll_that_gets_no_answer(self) -> None:
+    def test_a_task_keeps_running_though_a_poll_gets_no_answer(self) -> None:
         site = Site(rate=1.0)
         site.settle()
         site.order_start("a")
@@ -242,7 +242,7 @@
         def lose_call(sent: Sent) -> LostCall | None:
             if sent.kind == "hold" and sent.body.get("waitMs", 0):
                 lost[0] += 1
-                return NEVER if lost[0] % 2 else None
+                return NEVER_EXECUTED if lost[0] % 2 else None
             return None
 
         site.worker.lose_call = lose_call
@@ -255,12 +255,12 @@
         site.settle()
         site.order_start("a")
         site.primary.grant_ms = 0
-        site.run(5.0)  # deadlines can't be moved meanwhile
+        site.run(5.0)  # meanwhile no deadline can be extended
         site.primary.grant_ms = 6000
         site.run(3.0)
         self.assertIn("a", site.worker.instance_model.running)
 
-    def test_cut_off_from_the_primary_tasks_lapse_by_the_end_of_the_grant(self) -> None:
+    def test_without_the_primary_task_leases_expire_by_the_end_of_the_grant(self) -> None:
         site = Site()
         site.settle()
         site.order_start("a")
@@ -279,7 +279,7 @@
         ends = [(end.task, end.how) for report in site.primary.reports for end in report.finished]
         self.assertIn(("a", "lapsed"), ends)
 
-    def test_cut_off_with_ends_that_nobody_acknowledges_few_looks_are_made(self) -> None:
+    def test_without_the_primary_unacknowledged_ended_runs_cause_few_hold_calls(self) -> None:
         site = Site()
         site.settle()
         site.order_start("a")
@@ -291,7 +291,7 @@
         site.run(10.0)
         self.assertLess(len(self.holds(site)) - before, 12)
 
-    def test_an_end_is_reported_at_once_and_kept_until_acknowledged(self) -> None:
+    def test_an_ended_run_is_reported_at_once_and_until_it_is_acknowledged(self) -> None:
         site = Site()
         site.settle()
         site.order_start("a")
@@ -309,7 +309,7 @@
         self.assertEqual([], site.primary.last.finished)
         self.assertEqual(1, self.holds(site)[-1].body["lastSeen"])
 
-    def test_a_run_that_ended_is_no_longer_told_as_running(self) -> None:
+    def test_an_ended_run_is_no_longer_reported_as_running(self) -> None:
         site = Site()
         site.settle()
         site.order_start("a")
@@ -322,7 +322,7 @@
             self.assertFalse(ended & {(entry.task, entry.run) for entry in report.running})
         self.assertEqual(["b"], [entry.task for entry in site.primary.last.running])
 
-    def test_more_ends_than_one_answer_carries_are_all_fetched(self) -> None:
+    def test_more_ended_runs_than_fit_in_one_answer_are_all_fetched(self) -> None:
         site = Site()
         site.settle()
         instance_model = site.worker.instance_model
@@ -330,10 +330,10 @@
         instance_model.next_end = 1201
         site.primary.term = 6
         site.run(5.0)
-        told = {end.number for report in site.primary.reports for end in report.finished}
-        self.assertEqual(1200, len(told))
+        reported = {end.number for report in site.primary.reports for end in report.finished}
+        self.assertEqual(1200, len(reported))
 
-    def test_a_new_term_is_shown_to_the_worker_before_the_first_report_of_it(self) -> None:
+    def test_the_worker_gets_the_fencing_token_of_a_new_term_before_the_first_report_of_the_term(self) -> None:
         site = Site()
         site.settle()
         site.order_start("a")
@@ -359,7 +359,7 @@
         of_term = [report for report in site.primary.reports if report.term == 8]
         self.assertEqual([5], [report.hold_fence for report in of_term])
 
-    def test_lists_of_a_call_sent_earlier_do_not_replace_newer_ones_but_their_ends_count(self) -> None:
+    def test_lists_of_an_earlier_call_do_not_replace_newer_ones_but_their_ended_runs_count(self) -> None:
         site = Site()
         site.settle()
         site.order_start("a")
@@ -368,7 +368,7 @@
         polled = self.holds(site)[-1]
         self.assertIn("waitMs", polled.body)
         site.worker.answer_delay = lambda sent: 0.5 if sent is polled else 0.001
-        site.worker.finish("a")  # answers the poll, but the answer is under way for long
+        site.worker.finish("a")  # makes the worker answer the poll, but the answer is delayed
         site.primary.term = 8
         site.worker.instance_model.running["c"] = site.worker.instance_model.running["b"].__class__("c", 1)
         site.push()
@@ -381,7 +381,7 @@
         self.assertEqual(sorted(numbers), numbers)
         self.assertTrue(any(end.task == "a" for report in site.primary.reports for end in report.finished))
 
-    def test_a_silent_worker_is_reported_and_asked_at_a_bounded_rate(self) -> None:
+    def test_a_silent_worker_is_reported_and_called_at_a_bounded_rate(self) -> None:
         site = Site()
         site.settle()
         site.order_start("a")
@@ -401,35 +401,35 @@
         site.worker.unreachable = True
         site.order_start("a")
         site.run(0.65)
-        told = next(
+        reported_at = next(
             when
             for when, report in zip(site.primary.report_times, site.primary.reports, strict=True)
             if report.silent_ms >= int(SHORTEST_TIMEOUT_S * 1_000)
         )
-        self.assertLess(told, site.world.time - 0.15)
+        self.assertLess(reported_at, site.world.time - 0.15)
 
-    def test_a_poll_that_fails_after_a_later_call_was_answered_stops_nothing(self) -> None:
+    def test_a_poll_that_fails_after_a_later_call_was_answered_does_not_delay_other_calls(self) -> None:
         site = Site()
         site.settle()
-        site.worker.lose_call = lambda sent: NEVER if sent.body.get("waitMs", 0) else None
+        site.worker.lose_call = lambda sent: NEVER_EXECUTED if sent.body.get("waitMs", 0) else None
         site.order_start("a")
         site.run(0.5)
         site.worker.finish("a")
-        site.order_stop("absent")  # needs a look, which shows that nothing runs
+        site.order_stop("absent")  # causes a refresh, which shows that nothing is running
         site.run(4.0)
         site.order_start("b")
         site.run(0.1)
         self.assertIn("b", site.worker.instance_model.running)
 
-    def test_a_silent_worker_is_given_no_new_deadlines_so_that_its_tasks_lapse_for_certain(self) -> None:
+    def test_a_silent_worker_gets_no_new_deadlines_so_that_its_leases_certainly_expire(self) -> None:
         for dies in (False, True):
             with self.subTest(dies=dies):
                 site = Site(rate=1.0)
-                running_then: list[int] = []
+                running_counts: list[int] = []
 
-                def check(report: AgentReport, site: Site = site, told: list[int] = running_then) -> None:
+                def check(report: AgentReport, site: Site = site, counts: list[int] = running_counts) -> None:
                     if report.lapsed_instance:
-                        told.append(len(site.worker.instance_model.running))
+                        counts.append(len(site.worker.instance_model.running))
 
                 site.primary.on_report = check
                 site.settle()
@@ -442,19 +442,19 @@
                 silent_at = site.world.time
                 site.order_start("b")
                 site.run(12.0)
-                told = [
+                reports = [
                     (when, report)
                     for when, report in zip(site.primary.report_times, site.primary.reports, strict=True)
                     if report.lapsed_instance
                 ]
-                self.assertEqual("i-1", told[0][1].lapsed_instance)
-                self.assertLess(told[0][0], silent_at + 9.0)
-                self.assertEqual({0}, set(running_then))
+                self.assertEqual("i-1", reports[0][1].lapsed_instance)
+                self.assertLess(reports[0][0], silent_at + 9.0)
+                self.assertEqual({0}, set(running_counts))
                 site.worker.unreachable = False
                 site.run(3.0)
                 self.assertEqual("i-1" if dies else "", site.primary.last.lapsed_instance)
 
-    def test_orders_from_before_a_lapse_was_told_start_nothing_afterwards(self) -> None:
+    def test_orders_sent_before_expired_leases_were_reported_start_nothing_afterwards(self) -> None:
         site = Site()
         site.settle()
         site.order_start("a")
@@ -467,44 +467,44 @@
         site.run(1.5)
         site.worker.unreachable = False
         site.run(3.0)
-        lapse = max(report.number for report in site.primary.reports if report.lapsed_instance)
+        expiry_report = max(report.number for report in site.primary.reports if report.lapsed_instance)
         late = [StartOrder("c", 1, "text")]
-        site.push(AgentOrders(term=5, instance="i-1", report_number=lapse - 1, starts=late))
+        site.push(AgentOrders(term=5, instance="i-1", report_number=expiry_report - 1, starts=late))
         site.run(1.0)
-        self.assertEqual(["a"], [started_runs.task for started_runs in site.worker.started_runs])
-        site.push(AgentOrders(term=5, instance="i-1", report_number=lapse, starts=late))
+        self.assertEqual(["a"], [run.task for run in site.worker.started_runs])
+        site.push(AgentOrders(term=5, instance="i-1", report_number=expiry_report, starts=late))
         site.run(1.0)
-        self.assertEqual(["a", "c"], [started_runs.task for started_runs in site.worker.started_runs])
+        self.assertEqual(["a", "c"], [run.task for run in site.worker.started_runs])
 
-    def test_a_life_that_is_over_is_told_of_again_to_a_primary_that_takes_it_for_alive(self) -> None:
+    def test_the_end_of_an_instance_is_reported_again_to_a_primary_that_believes_it_alive(self) -> None:
         site = Site()
         site.settle()
         site.worker.end()
         site.agent.leave("i-1", lambda status, body: None)
         site.run(6.0)
         self.assertTrue(any("i-1" in report.ended_instances for report in site.primary.reports))
-        heard = len(site.primary.reports)
+        received = len(site.primary.reports)
         site.push(AgentOrders(term=6, instance="i-1", report_number=site.primary.last_report_number()))
         site.primary.term = 6
         site.run(3.0)
-        self.assertTrue(any("i-1" in report.ended_instances for report in site.primary.reports[heard:]))
+        self.assertTrue(any("i-1" in report.ended_instances for report in site.primary.reports[received:]))
 
-    def test_orders_held_up_by_a_cut_longer_than_the_grant_start_nothing_afterwards(self) -> None:
+    def test_orders_delayed_by_a_partition_longer_than_the_grant_start_nothing_afterwards(self) -> None:
         site = Site()
         site.settle()
         site.primary.reachable = False
-        held_up = site.primary.orders()
-        held_up.starts = [StartOrder("c", 1, "text")]
+        delayed = site.primary.orders()
+        delayed.starts = [StartOrder("c", 1, "text")]
         site.run(site.primary.grant_ms / 1000.0 + 1.0)
-        site.push(held_up)
+        site.push(delayed)
         site.primary.reachable = True
         site.run(3.0)
-        self.assertEqual([], [started_runs.task for started_runs in site.worker.started_runs])
+        self.assertEqual([], [run.task for run in site.worker.started_runs])
 
-    def test_orders_waiting_at_an_agent_whose_grant_runs_out_start_nothing_afterwards(self) -> None:
+    def test_orders_queued_in_an_agent_start_nothing_after_its_grant_has_expired(self) -> None:
         site = Site()
         site.settle()
-        site.worker.lose_call = lambda sent: NEVER if sent.kind == "run-start" else None
+        site.worker.lose_call = lambda sent: NEVER_EXECUTED if sent.kind == "run-start" else None
         site.order_start("c")
         site.primary.reachable = False
         site.primary.starts.clear()
@@ -512,16 +512,16 @@
         site.worker.lose_call = lambda sent: None
         site.primary.reachable = True
         site.run(3.0)
-        self.assertEqual([], [started_runs.task for started_runs in site.worker.started_runs])
+        self.assertEqual([], [run.task for run in site.worker.started_runs])
 
-    def test_a_worker_silent_in_all_ways_is_left_alone_until_it_is_heard(self) -> None:
+    def test_a_worker_without_answers_and_heartbeats_is_not_called_until_it_sends_a_heartbeat(self) -> None:
         site = Site()
         site.settle()
         site.order_start("a")
         site.order_start("b")
         site.run(1.0)
         site.worker.unreachable = True
-        site.worker.heard = False
+        site.worker.heartbeats_delivered = False
         site.order_stop("b")
         site.primary.reachable = False
         site.run(30.0)
@@ -530,12 +530,12 @@
         self.assertEqual(before, len(site.worker.sent))
         site.primary.reachable = True
         site.worker.unreachable = False
-        site.worker.heard = True
+        site.worker.heartbeats_delivered = True
         site.run(3.0)
         self.assertEqual(0, site.primary.last.silent_ms)
         self.assertIn(("b", 1, "stop", "stopped"), site.primary.results())
 
-    def test_refused_holds_are_tried_again_slowly(self) -> None:
+    def test_refused_hold_calls_are_retried_with_a_backoff(self) -> None:
         site = Site()
         site.settle()
         site.worker.instance_model.fence = 99
@@ -556,7 +556,7 @@
         site.run(5.0)
         self.assertEqual([], site.worker.sent)
 
-    def test_orders_pushed_before_that_start_nothing(self) -> None:
+    def test_orders_pushed_before_the_first_answered_report_start_nothing(self) -> None:
         site = Site()
         site.primary.reachable = False
         site.settle()
@@ -567,9 +567,9 @@
         self.assertNotIn("deadlineMs", site.worker.sent[0].body)
         site.primary.reachable = True
         site.run(1.0)
-        self.assertEqual(["a"], [started_runs.task for started_runs in site.worker.started_runs])
+        self.assertEqual(["a"], [run.task for run in site.worker.started_runs])
 
-    def test_tasks_outlive_the_agent_though_no_heartbeat_comes(self) -> None:
+    def test_tasks_survive_a_restart_of_the_agent_without_heartbeats(self) -> None:
         site = Site(rate=1.0)
         site.settle()
         site.order_start("a")
@@ -577,7 +577,7 @@
         site.primary.starts.clear()
         site.kill()
         site.run(1.0)
-        site.worker.heard = False
+        site.worker.heartbeats_delivered = False
         restarted_at = len(site.primary.reports)
         site.start()
         site.run(15.0)
@@ -585,18 +585,18 @@
         self.assertIsNone(site.primary.last.worker)
         self.assertEqual((0, []), (site.primary.last.hold_number, site.primary.last.running))
         self.assertIsNone(site.primary.reports[restarted_at].worker)
-        site.worker.heard = True
+        site.worker.heartbeats_delivered = True
         site.run(2.0)
         self.assertEqual(["a"], [entry.task for entry in site.primary.last.running])
         self.assertEqual(1, len(site.worker.started_runs))
 
-    def test_the_first_hold_carries_no_deadline_where_the_workers_clock_is_unknown(self) -> None:
+    def test_the_first_hold_call_has_no_deadline_if_the_clock_of_the_worker_is_unknown(self) -> None:
         site = Site()
         site.settle()
         site.order_start("a")
         site.run(0.9)
         site.kill()
-        site.worker.heard = False
+        site.worker.heartbeats_delivered = False
         before = len(site.worker.sent)
         site.start()
         site.run(0.1)
@@ -605,20 +605,20 @@
         self.assertIn("deadlineMs", second.body)
         self.assertNotIn("waitMs", second.body)
 
-    def test_starts_wait_for_the_heartbeat_of_a_life_known_by_its_id_alone(self) -> None:
+    def test_starts_wait_for_the_first_heartbeat_of_an_instance_known_by_its_id_alone(self) -> None:
         site = Site()
         site.settle()
         site.kill()
-        site.worker.heard = False
+        site.worker.heartbeats_delivered = False
         site.start()
         site.order_start("a")
         site.run(3.0)
         self.assertEqual([], site.worker.calls_of_kind("run-start"))
-        site.worker.heard = True
+        site.worker.heartbeats_delivered = True
         site.run(2.0)
         self.assertEqual(1, len(site.worker.started_runs))
 
-    def test_a_life_that_only_the_primary_knew_is_over_once_a_newer_one_is_known(self) -> None:
+    def test_an_instance_known_only_to_the_primary_has_ended_once_a_newer_one_is_known(self) -> None:
         site = Site()
         site.settle()
         site.kill()
--- a/tests/system/test_agent_courses.py
+++ b/tests/system/test_agent_courses.py
@@ -1,4 +1,4 @@
-"""Drawn courses of an agent beside its worker."""
+"""Tests the agent under random faults of the worker, the network, the primary and the agent itself."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from tests.system.agent_worker import LostCall, Sent, Site
 
 TICK = 0.0005
-NEVER = LostCall()
+NEVER_EXECUTED = LostCall()
 
 
 def first_calls(kind: str, count: int, loss: LostCall) -> Any:
-    """Leave the first `count` calls of that kind unanswered."""
+    """Lose the first `count` calls of that kind."""
     left = [count]
 
     def lose_call(sent: Sent) -> LostCall | None:
@@ -26,8 +26,8 @@
     return lose_call
 
 
-class RandomCourse:
-    """One course of troubles, and a primary that gives orders at random and holds the agent to its word."""
+class RandomFaultSchedule:
+    """One random schedule of faults and orders, which checks the guarantees of the agent after each step."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -37,7 +37,7 @@
         self.site.worker.lose_call = self.choose_loss
         self.problems: list[str] = []
         self.settled: dict[tuple[str, int], str] = {}
-        self.impossible: dict[tuple[str, int], str] = {}  # run that must never begin or go on, and its life
+        self.impossible: dict[tuple[str, int], str] = {}  # run that must not run -> its worker instance
         self.loss_rate = 0.0
         self.count = 0
         self.checked_calls = 0
@@ -126,12 +126,12 @@
         self.site.world.after(3.0, leave)
 
     def check_report(self, report: AgentReport) -> None:
-        """A primary that drops its orders once their end is certain."""
+        """Check a report, and discard orders as the primary does once their outcome is certain."""
         primary, instance_model = self.site.primary, self.site.worker.instance_model
         if report.lapsed_instance == instance_model.instance and instance_model.running:
-            self.problems.append(f"{list(instance_model.running)} run after the lapse that was told")
+            self.problems.append(f"{list(instance_model.running)} run after their leases were reported as expired")
         for result in report.results:
-            self.take_result(report, result)
+            self.handle_result(report, result)
         seen = {(entry.task, entry.run) for entry in [*report.running, *report.finished]}
         primary.starts = [order for order in primary.starts if (order.task, order.run) not in seen]
         ended = {(end.task, end.run) for end in report.finished}
@@ -140,7 +140,7 @@
             primary.starts.clear()
             primary.stops.clear()
 
-    def take_result(self, report: AgentReport, result: OrderResult) -> None:
+    def handle_result(self, report: AgentReport, result: OrderResult) -> None:
         primary, key = self.site.primary, (result.task, result.run)
         if result.order == "start":
             primary.starts = [order for order in primary.starts if (order.task, order.run) != key]
@@ -155,9 +155,9 @@
         instance_model = self.site.worker.instance_model
         for run in instance_model.running.values():
             if self.impossible.get((run.task, run.run)) == instance_model.instance:
-                self.problems.append(f"{run.task} runs though it was said never to")
+                self.problems.append(f"{run.task} runs though a report ruled that out")
             if run.task == "forbidden":
-                self.problems.append("an order of an old term was carried out")
+                self.problems.append("an order of an old term was executed")
 
     def check_calls(self) -> None:
         worker, primary = self.site.worker, self.site.primary
@@ -168,16 +168,16 @@
                 until = worker.time_of(instance_model, sent.body["deadlineMs"]) + self.site.machine.clock_offset
                 latest = min(primary.granted_until, sent.at + self.site.machine.clock_offset + 6.0)
                 if until > latest + 0.001:
-                    self.problems.append(f"{sent.kind} at {sent.at}: {until - latest} s too long")
+                    self.problems.append(f"{sent.kind} at {sent.at}: {until - latest} s too late")
             if sent.body.get("lastSeen", 0) > primary.delivered_acknowledgements.get(sent.instance, 0):
                 self.problems.append(f"lastSeen {sent.body['lastSeen']} is not acknowledged")
-            drained_at = instance_model.state_acknowledged_at
+            drained_at = instance_model.draining_acknowledged_at
             if sent.kind == "run-start" and drained_at is not None and sent.at > drained_at + TICK:
                 self.problems.append("a start was sent to a draining worker")
         self.checked_calls = len(worker.sent)
 
     def recover(self) -> None:
-        """End all troubles; then all orders come to their end."""
+        """End all faults, and check that all orders are completed then."""
         worker, primary = self.site.worker, self.site.primary
         self.loss_rate = 0.0
         worker.unhealthy = 0
@@ -190,23 +190,23 @@
         self.check_calls()
         self.check_runs()
         if primary.most_under_way != 1:
-            self.problems.append(f"{primary.most_under_way} reports were under way at once")
+            self.problems.append(f"{primary.most_under_way} reports were pending at once")
         if primary.starts or primary.stops:
-            self.problems.append(f"orders without end: {primary.starts} {primary.stops}")
+            self.problems.append(f"orders not completed: {primary.starts} {primary.stops}")
         running = {(run.task, run.run) for run in worker.instance_model.running.values()}
-        told = {(entry.task, entry.run) for entry in primary.last.running}
-        if running != told:
-            self.problems.append(f"runs {running}, told {told}")
+        reported = {(entry.task, entry.run) for entry in primary.last.running}
+        if running != reported:
+            self.problems.append(f"running {running}, reported {reported}")
 
 
-class RandomCourses(unittest.TestCase):
-    def test_the_agent_keeps_its_word_in_any_course_of_troubles(self) -> None:
+class RandomFaultScheduleTest(unittest.TestCase):
+    def test_the_agent_keeps_its_guarantees_under_random_faults(self) -> None:
         started_runs = 0
         for seed in range(40):
-            course = RandomCourse(seed)
-            course.run(60.0)
-            started_runs += len(course.site.worker.started_runs)
-            self.assertEqual([], course.problems[:3], f"seed {seed}")
+            schedule = RandomFaultSchedule(seed)
+            schedule.run(60.0)
+            started_runs += len(schedule.site.worker.started_runs)
+            self.assertEqual([], schedule.problems[:3], f"seed {seed}")
         self.assertGreater(started_runs, 500)
 
 
--- a/tests/system/test_agent_orders.py
+++ b/tests/system/test_agent_orders.py
@@ -1,4 +1,4 @@
-"""An agent's orders to its worker, its reports, and its clocks."""
+"""Tests the orders that an agent sends to its worker, its reports, and its estimate of the worker's clock."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from tests.system.agent_worker import LostCall, Sent, Site
 
 TICK = 0.0005
-NEVER = LostCall()
+NEVER_EXECUTED = LostCall()
 
 
 def first_calls(kind: str, count: int, loss: LostCall) -> Any:
-    """Leave the first `count` calls of that kind unanswered."""
+    """Lose the first `count` calls of that kind."""
     left = [count]
 
     def lose_call(sent: Sent) -> LostCall | None:
@@ -49,7 +49,7 @@
         ]
         return found[-1]
 
-    def test_a_start_carries_all_that_was_ordered_and_is_reported_at_once(self) -> None:
+    def test_a_start_contains_all_fields_of_the_order_and_is_reported_at_once(self) -> None:
         self.site.order_start("a", 3, saved="00ff")
         self.site.run(0.02)
         (start,) = self.worker.calls_of_kind("run-start")
@@ -60,8 +60,8 @@
         self.assertEqual("hold", self.worker.sent[-1].kind)
         self.assertIn("waitMs", self.worker.sent[-1].body)
 
-    def test_a_start_that_gets_no_answer_is_repeated_until_it_does(self) -> None:
-        self.worker.lose_call = first_calls("run-start", 3, NEVER)
+    def test_a_start_without_an_answer_is_repeated_until_it_is_answered(self) -> None:
+        self.worker.lose_call = first_calls("run-start", 3, NEVER_EXECUTED)
         self.site.order_start("a")
         self.site.run(6.0)
         times = [start.at for start in self.worker.calls_of_kind("run-start")]
@@ -72,21 +72,21 @@
         self.assertEqual("started", self.outcome("a"))
         self.assertEqual(1, len(self.worker.started_runs))
 
-    def test_a_start_carried_out_without_answer_is_seen_and_not_carried_out_twice(self) -> None:
+    def test_a_start_executed_without_an_answer_is_detected_and_not_executed_twice(self) -> None:
         self.worker.lose_call = first_calls("run-start", 1, LostCall(carried_out_after=0.001))
         self.site.order_start("a")
         self.site.run(2.0)
         self.assertEqual("started", self.outcome("a"))
         self.assertEqual(1, len(self.worker.started_runs))
 
-    def test_an_order_known_already_changes_nothing(self) -> None:
+    def test_a_repeated_order_changes_nothing(self) -> None:
         self.site.order_start("a")
         for _ in range(20):
             self.site.push()
             self.site.run(0.1)
         self.assertEqual(1, len(self.worker.calls_of_kind("run-start")))
 
-    def test_a_start_of_a_run_that_is_there_sends_nothing(self) -> None:
+    def test_a_start_of_a_running_run_causes_no_call(self) -> None:
         self.site.order_start("a")
         self.site.run(4.0)
         self.site.kill()
@@ -95,7 +95,7 @@
         self.assertEqual(1, len(self.worker.calls_of_kind("run-start")))
         self.assertEqual("started", self.outcome("a"))
 
-    def test_refusals_are_reported_by_their_reason(self) -> None:
+    def test_refusals_are_reported_with_their_reason(self) -> None:
         self.worker.capacity = 1
         self.site.order_start("a", 2)
         self.site.run(0.1)
@@ -110,7 +110,7 @@
         self.assertEqual("old", self.outcome("d"))
         self.assertGreaterEqual(self.primary.last.hold_number, self.result("d", "start").at_hold)
 
-    def test_a_refusal_after_a_call_without_answer_is_made_certain_by_a_stop(self) -> None:
+    def test_a_refusal_after_a_call_without_an_answer_is_made_final_by_a_stop(self) -> None:
         for refusal in ("room", "unhealthy"):
             with self.subTest(refusal):
                 site = Site()
@@ -130,7 +130,7 @@
                 at_hold = next(result.at_hold for report in site.primary.reports for result in report.results)
                 self.assertGreaterEqual(site.primary.last.hold_number, at_hold)
 
-    def test_an_unhealthy_worker_is_tried_a_few_times(self) -> None:
+    def test_starts_on_an_unhealthy_worker_are_tried_a_few_times(self) -> None:
         self.worker.unhealthy = 2
         self.site.order_start("a")
         self.site.run(2.0)
@@ -141,7 +141,7 @@
         self.assertEqual("unhealthy", self.outcome("b"))
         self.assertEqual(97, self.worker.unhealthy)
 
-    def test_a_start_that_came_too_late_is_sent_again_with_a_new_deadline(self) -> None:
+    def test_a_start_that_arrived_after_its_deadline_is_sent_again_with_a_new_deadline(self) -> None:
         refused: list[Sent] = []
 
         def forced_refusal(sent: Sent) -> str:
@@ -159,7 +159,7 @@
         self.assertEqual(sorted(set(deadlines[:3])), deadlines[:3])
         self.assertEqual("started", self.outcome("a"))
 
-    def test_orders_fenced_off_wait_for_the_new_primary(self) -> None:
+    def test_fenced_orders_wait_for_the_new_primary(self) -> None:
         self.worker.instance_model.fence = 9
         self.site.order_start("a")
         before = len(self.primary.reports)
@@ -171,8 +171,8 @@
         self.site.run(2.0)
         self.assertEqual("started", self.outcome("a"))
 
-    def test_orders_of_an_old_term_are_void_once_a_new_one_is_known(self) -> None:
-        self.worker.lose_call = lambda sent: NEVER if sent.kind == "run-start" else None
+    def test_orders_of_an_old_term_are_discarded_when_a_new_term_is_known(self) -> None:
+        self.worker.lose_call = lambda sent: NEVER_EXECUTED if sent.kind == "run-start" else None
         self.site.order_start("a")
         self.site.run(0.1)
         self.primary.starts.clear()
@@ -189,14 +189,14 @@
         self.assertEqual((False, 5), (reply.accepted, reply.term))
         self.assertEqual([], self.worker.calls_of_kind("run-start"))
 
-    def test_an_answer_of_a_lower_term_grants_nothing(self) -> None:
+    def test_an_answer_of_a_lower_term_does_not_renew_the_grant(self) -> None:
         self.site.order_start("a")
         self.site.run(1.0)
         self.site.push(AgentOrders(term=9, instance="i-1"))
         self.site.run(10.0)
         self.assertEqual([], list(self.worker.instance_model.running))
 
-    def test_pushed_orders_are_answered_before_they_are_carried_out(self) -> None:
+    def test_pushed_orders_are_answered_before_they_are_executed(self) -> None:
         self.worker.unreachable = True
         self.primary.starts.append(StartOrder("a", 1, "text"))
         reply = self.site.push()
@@ -215,7 +215,7 @@
         self.assertEqual(1, len(self.worker.calls_of_kind("run-start")))
         self.assertEqual([], self.worker.started_runs)
 
-    def test_a_stop_is_carried_to_its_end_though_its_start_is_answered_meanwhile(self) -> None:
+    def test_a_stop_is_completed_though_its_start_is_answered_meanwhile(self) -> None:
         self.site.order_start("a")
         self.site.order_stop("a")
         self.site.run(0.5)
@@ -224,7 +224,7 @@
         ends = [(end.task, end.how) for report in self.primary.reports for end in report.finished]
         self.assertIn(("a", "stopped"), ends)
 
-    def test_a_start_that_made_no_connection_needs_no_stop(self) -> None:
+    def test_a_start_with_a_refused_connection_needs_no_stop(self) -> None:
         self.worker.listening = False
         self.site.order_start("a")
         self.site.run(0.3)
@@ -234,29 +234,29 @@
         self.assertEqual("room", self.outcome("a"))
         self.assertEqual([], self.worker.calls_of_kind("run-stop"))
 
-    def test_a_start_is_refused_where_nothing_listens_any_more(self) -> None:
-        self.worker.listening = False  # it was idle, so nothing else would notice
+    def test_a_start_is_refused_when_the_worker_has_stopped_listening(self) -> None:
+        self.worker.listening = False  # the worker was idle, so no other call fails
         self.site.order_start("a")
         self.site.run(3.0)
         self.assertEqual("unhealthy", self.outcome("a"))
         self.assertEqual(0, self.site.agent.status()["openOrders"])
 
-    def test_a_stop_where_nothing_listens_any_more_ends_by_the_lapse(self) -> None:
+    def test_a_stop_ends_by_lease_expiry_when_the_worker_has_stopped_listening(self) -> None:
         self.worker.listening = False
         self.site.order_stop("a")
         self.site.run(8.0)
         self.assertTrue(any(report.lapsed_instance for report in self.site.primary.reports))
 
-    def test_a_start_that_an_earlier_process_may_have_sent_lapses_where_nothing_listens_any_more(self) -> None:
+    def test_a_start_possibly_sent_by_an_earlier_process_expires_when_the_worker_has_stopped_listening(self) -> None:
         self.site.kill()
         self.site.start()
-        self.site.run(2.0)  # the worker is known again, and idle
+        self.site.run(2.0)  # the restarted agent knows the worker, which is idle
         self.worker.listening = False
         self.site.order_start("a")
         self.site.run(20.0)
         self.assertTrue(any(report.lapsed_instance for report in self.site.primary.reports))
 
-    def test_a_start_that_an_earlier_process_may_have_sent_is_stopped_before_it_is_refused(self) -> None:
+    def test_a_start_possibly_sent_by_an_earlier_process_is_stopped_before_it_is_refused(self) -> None:
         self.worker.lose_call = first_calls("run-start", 1, LostCall(carried_out_after=4.0))
         self.site.order_start("a")
         self.site.run(0.1)
@@ -269,7 +269,7 @@
         self.site.run(5.0)
         self.assertEqual([], self.worker.started_runs)
 
-    def test_a_run_that_is_there_is_no_refused_start_on_a_draining_worker(self) -> None:
+    def test_the_start_of_a_running_run_is_not_refused_when_the_lists_of_a_draining_worker_arrive(self) -> None:
         self.site.order_start("a")
         self.site.run(1.0)
         self.site.kill()
@@ -281,7 +281,7 @@
         self.site.run(1.0)
         self.assertEqual("started", self.outcome("a"))
 
-    def test_a_start_of_a_run_that_is_there_is_answered_though_the_worker_drains(self) -> None:
+    def test_the_start_of_a_known_running_run_succeeds_though_the_worker_drains(self) -> None:
         self.site.order_start("a")
         self.site.run(3.0)
         self.site.kill()
@@ -299,14 +299,14 @@
     def test_a_stop_is_repeated_until_it_is_answered(self) -> None:
         self.site.order_start("a")
         self.site.run(1.0)
-        self.worker.lose_call = first_calls("run-stop", 2, NEVER)
+        self.worker.lose_call = first_calls("run-stop", 2, NEVER_EXECUTED)
         self.worker.unhealthy = 2
         self.site.order_stop("a")
         self.site.run(4.0)
         self.assertEqual(5, len(self.worker.calls_of_kind("run-stop")))
         self.assertEqual("stopped", self.outcome("a", "stop"))
 
-    def test_the_end_of_a_stopped_run_is_seen_without_another_look(self) -> None:
+    def test_the_end_of_a_stopped_run_is_detected_without_another_hold_call(self) -> None:
         self.site.order_start("a")
         self.site.run(2.5)
         before = len(self.worker.calls_of_kind("hold"))
@@ -316,7 +316,7 @@
         ends = [(end.task, end.how) for report in self.primary.reports for end in report.finished]
         self.assertIn(("a", "stopped"), ends)
 
-    def test_a_start_that_follows_its_stop_is_old(self) -> None:
+    def test_a_start_after_the_stop_of_the_same_run_is_refused_as_old(self) -> None:
         self.site.order_stop("a")
         self.site.run(0.5)
         self.site.order_start("a")
@@ -324,8 +324,8 @@
         self.assertEqual("old", self.outcome("a"))
         self.assertEqual([], self.worker.calls_of_kind("run-start"))
 
-    def test_few_calls_are_under_way_at_once_and_stops_go_first(self) -> None:
-        self.worker.lose_call = lambda sent: NEVER if sent.kind != "hold" else None
+    def test_concurrent_calls_are_limited_and_stops_are_sent_first(self) -> None:
+        self.worker.lose_call = lambda sent: NEVER_EXECUTED if sent.kind != "hold" else None
         for number in range(10):
             self.site.order_start(f"t{number}")
         self.site.order_stop("other")
@@ -335,9 +335,9 @@
         kinds = [sent.kind for sent in self.worker.sent if sent.kind != "hold"]
         self.assertEqual("run-stop", kinds[4])
 
-    def test_orders_left_unanswered_do_not_block_others(self) -> None:
+    def test_unanswered_orders_do_not_block_others(self) -> None:
         def lose_call(sent: Sent) -> LostCall | None:
-            return NEVER if sent.body.get("task", "").startswith("stuck") else None
+            return NEVER_EXECUTED if sent.body.get("task", "").startswith("stuck") else None
 
         self.worker.lose_call = lose_call
         for number in range(8):
@@ -345,11 +345,9 @@
         for number in range(8):
             self.site.order_start(f"t{number}")
         self.site.run(4.0)
-        self.assertEqual(
-            {f"t{number}" for number in range(8)}, {started_runs.task for started_runs in self.worker.started_runs}
-        )
+        self.assertEqual({f"t{number}" for number in range(8)}, {run.task for run in self.worker.started_runs})
 
-    def test_orders_for_another_life_are_gone(self) -> None:
+    def test_orders_for_an_ended_instance_are_reported_as_gone(self) -> None:
         self.worker.crash(restart_after=0.1)
         self.site.run(0.5)
         orders = AgentOrders(
@@ -364,15 +362,15 @@
         self.assertEqual(("gone", "gone"), (self.outcome("a"), self.outcome("b", "stop")))
         self.assertEqual([], self.worker.calls_of_kind("run-start") + self.worker.calls_of_kind("run-stop"))
 
-    def test_orders_under_way_when_the_worker_crashes_are_gone(self) -> None:
-        self.worker.lose_call = lambda sent: NEVER if sent.kind == "run-start" else None
+    def test_orders_pending_when_the_worker_crashes_are_reported_as_gone(self) -> None:
+        self.worker.lose_call = lambda sent: NEVER_EXECUTED if sent.kind == "run-start" else None
         self.site.order_start("a")
         self.site.run(0.1)
         self.worker.crash(restart_after=0.1)
         self.site.run(0.5)
         self.assertEqual("gone", self.outcome("a"))
 
-    def test_a_result_is_told_until_a_report_with_it_was_answered(self) -> None:
+    def test_a_result_is_reported_until_a_report_with_it_is_answered(self) -> None:
         self.primary.reachable = False
         self.site.order_start("a")
         self.site.run(3.0)
@@ -383,7 +381,7 @@
         self.site.run(3.0)
         self.assertEqual([], self.primary.last.results)
 
-    def test_an_order_that_is_repeated_is_told_of_again_without_haste(self) -> None:
+    def test_the_result_of_a_repeated_order_is_reported_again_with_the_next_regular_report(self) -> None:
         self.site.order_stop("a")
         self.site.run(0.5)
         before = len(self.primary.reports)
@@ -402,7 +400,7 @@
         self.assertIsNone(first.worker)
         self.assertEqual(("side-1", "side-1:7660", "z1", 1), (first.node, first.address, first.zone, first.incarnation))
 
-    def test_idle_and_busy_agents_report_often_enough_for_their_grant(self) -> None:
+    def test_idle_and_busy_agents_report_often_enough_to_renew_their_grant(self) -> None:
         site = Site()
         site.settle()
         before = len(site.primary.reports)
@@ -428,7 +426,7 @@
         self.assertLess(site.primary.report_times[before], back_at + 2.01)
         self.assertEqual(["a"], [entry.task for entry in site.primary.reports[before].running])
 
-    def test_one_report_is_under_way_at_a_time_and_news_that_come_together_share_one(self) -> None:
+    def test_one_report_is_pending_at_a_time_and_simultaneous_changes_share_one(self) -> None:
         site = Site()
         site.settle()
         before = len(site.primary.reports)
@@ -438,7 +436,7 @@
         self.assertEqual(1, len(site.primary.reports) - before)
         self.assertEqual(4, len(site.primary.last.results))
         site.order_start("a")
-        site.run(0.007)  # its report is under way
+        site.run(0.007)  # the report of the first start is pending
         site.order_start("b")
         site.run(1.0)
         self.assertEqual(1, site.primary.most_under_way)
@@ -463,7 +461,7 @@
         site.run(5.0)
         self.assertEqual((reports, calls), (len(site.primary.reports), len(site.worker.sent)))
 
-    def test_the_status_shows_worker_term_and_work(self) -> None:
+    def test_the_status_shows_worker_term_and_running_tasks(self) -> None:
         site = Site()
         site.settle()
         site.order_start("a")
@@ -474,7 +472,7 @@
 
 
 class Clocks(unittest.TestCase):
-    def test_a_deadline_is_never_past_its_end_at_any_rate(self) -> None:
+    def test_a_worker_deadline_is_never_later_than_the_agent_deadline_at_any_clock_rate(self) -> None:
         for rate in (0.98, 0.99, 1.0):
             clock = WorkerClock()
             clock.record_reading(5000.0 + 1000.0 * rate * 10.0, 10.3)  # read at 10.0
@@ -482,10 +480,10 @@
             assert deadline is not None
             self.assertLessEqual((deadline - 5000.0) / (1000.0 * rate), 16.0)
 
-    def test_the_reading_that_says_most_is_kept(self) -> None:
+    def test_the_reading_with_the_highest_lower_bound_is_kept(self) -> None:
         clock = WorkerClock()
         clock.record_reading(1000.0, 10.0)
-        clock.record_reading(1100.0, 11.0)  # long under way
+        clock.record_reading(1100.0, 11.0)  # a delayed message
         self.assertEqual(1980.0, clock.lower_bound_ms(11.0))
         clock.record_reading(1995.0, 11.0)
         self.assertEqual(1995.0, clock.lower_bound_ms(11.0))
--- a/tests/system/test_agent_pace.py
+++ b/tests/system/test_agent_pace.py
@@ -1,4 +1,4 @@
-"""How long an agent waits for its worker: answers, ends, and lapses."""
+"""Tests how long an agent waits for answers of its worker, for runs to end, and for leases to expire."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 LOST = LostCall()
 
 
-class AnswerTimesTest(unittest.TestCase):
-    def test_quick_answers_bring_the_time_out_to_its_floor(self) -> None:
+class ResponseTimeEstimatorTest(unittest.TestCase):
+    def test_quick_answers_reduce_the_time_out_to_its_minimum(self) -> None:
         times = ResponseTimeEstimator()
         self.assertEqual(FIRST_TIMEOUT_S, times.timeout)
         for _ in range(3):
             times.answered(QUICK_S)
         self.assertEqual(SHORTEST_TIMEOUT_S, times.timeout)
 
-    def test_slow_and_uneven_answers_are_waited_for(self) -> None:
+    def test_slow_and_varying_answers_lengthen_the_time_out(self) -> None:
         times = ResponseTimeEstimator()
         for seconds in (0.1, 0.3) * 10:
             times.answered(seconds)
         self.assertGreater(times.timeout, 0.3)
 
-    def test_silence_lengthens_it_once_for_calls_made_side_by_side(self) -> None:
+    def test_unanswered_concurrent_calls_lengthen_the_time_out_once(self) -> None:
         times = ResponseTimeEstimator()
         times.answered(QUICK_S)
         for _ in range(4):
@@ -43,8 +43,8 @@
         self.assertEqual(LONGEST_TIMEOUT_S, times.timeout)
 
 
-class PollPaceTest(unittest.TestCase):
-    def test_polls_wait_little_longer_than_it_takes_until_an_end_comes(self) -> None:
+class PollWaitEstimatorTest(unittest.TestCase):
+    def test_polls_wait_somewhat_longer_than_runs_take_to_end(self) -> None:
         pace = PollWaitEstimator()
         self.assertEqual(LONGEST_WAIT_S, pace.wait_s)
         for _ in range(30):
@@ -54,7 +54,7 @@
             pace.ended(0.001)
         self.assertEqual(SHORTEST_WAIT_S, pace.wait_s)
 
-    def test_polls_without_an_end_wait_longer_and_longer(self) -> None:
+    def test_polls_without_an_ended_run_wait_longer_and_longer(self) -> None:
         pace = PollWaitEstimator()
         for _ in range(30):
             pace.ended(0.1)
@@ -64,17 +64,17 @@
 
 
 class LostCalls(unittest.TestCase):
-    """A worker that answers most calls, beside tasks that end all the time."""
+    """Single calls to the worker are lost while tasks end frequently."""
 
     def setUp(self) -> None:
         self.site = Site()
         self.site.settle()
         self.ends = 0
         for _ in range(20):
-            self.end_one()
+            self.run_and_finish_task()
 
-    def end_one(self) -> float:
-        """Have a task run, end it, and tell how long its end took to be reported."""
+    def run_and_finish_task(self) -> float:
+        """Start a task, finish it, and return the seconds until its end was reported."""
         task = f"t{self.ends}"
         self.ends += 1
         self.site.order_start(task)
@@ -86,7 +86,7 @@
             self.assertLess(self.site.world.time, ended + 5.0)
         return self.site.world.time - ended
 
-    def test_an_end_is_soon_known_though_the_poll_for_it_was_lost(self) -> None:
+    def test_an_ended_run_is_known_soon_though_the_poll_was_lost(self) -> None:
         left = [1]
 
         def lose_one_poll(sent: Sent) -> LostCall | None:
@@ -96,30 +96,30 @@
             return LOST
 
         self.site.worker.lose_call = lose_one_poll
-        self.assertLess(self.end_one(), 0.7)
+        self.assertLess(self.run_and_finish_task(), 0.7)
 
-    def test_one_lost_call_does_not_keep_others_from_starting(self) -> None:
+    def test_one_lost_call_does_not_delay_other_starts(self) -> None:
         self.site.worker.lose_call = lambda sent: LOST if sent.body.get("task") == "lost" else None
         self.site.order_start("lost")
         self.site.run(0.2)
         self.site.order_start("next")
         self.site.run(0.05)
-        self.assertIn("next", [started_runs.task for started_runs in self.site.worker.started_runs])
+        self.assertIn("next", [run.task for run in self.site.worker.started_runs])
         self.assertEqual(0, self.site.primary.last.silent_ms)
 
-    def test_tasks_of_a_worker_that_falls_silent_lapse_within_the_longest_hold(self) -> None:
+    def test_leases_of_a_worker_that_stops_answering_expire_within_the_longest_lease(self) -> None:
         self.site.order_start("last")
         self.site.run(0.3)
         self.site.worker.unreachable = True
         silent_at = self.site.world.time
         self.site.run(MAX_LEASE_S + 1.5)
-        lapsed = [
+        expired_at = [
             when
             for when, report in zip(self.site.primary.report_times, self.site.primary.reports, strict=True)
             if report.lapsed_instance
         ]
-        self.assertTrue(lapsed, "not told")
-        self.assertGreater(lapsed[0], silent_at + MAX_LEASE_S)
+        self.assertTrue(expired_at, "expired leases were not reported")
+        self.assertGreater(expired_at[0], silent_at + MAX_LEASE_S)
 
 
 if __name__ == "__main__":
