--- a/pipitledge/agent/worker_client.py
+++ b/pipitledge/agent/worker_client.py
@@ -23,7 +23,7 @@
 
     status: int
     reason: str = ""
-    refused: bool = False  # the connection was refused, so the call did not reach the worker
+    refused: bool = False  # no connection was established, so the call did not reach the worker
     body: bytes = b""
 
 
--- a/tests/system/agent_worker.py
+++ b/tests/system/agent_worker.py
@@ -63,7 +63,7 @@
 class LostCall:
     """What happens to a call that gets no answer."""
 
-    carried_out_after: float | None = None  # seconds; None: it is never executed
+    executed_after_s: float | None = None  # seconds; None: it is never executed
 
 
 @dataclass
@@ -205,14 +205,14 @@
         for answer in waiting:
             answer()
 
-    def _take_deadline(self, instance_model: InstanceModel, deadline_ms: float) -> None:
+    def _accept_deadline(self, instance_model: InstanceModel, deadline_ms: float) -> None:
         cut = min(deadline_ms, self.clock_ms(instance_model) + self.hold_max_ms)
         instance_model.deadline_ms = max(instance_model.deadline_ms, cut)
         self.world.at(
-            self.time_of(instance_model, instance_model.deadline_ms) + 1e-6, lambda: self._lapse(instance_model)
+            self.time_of(instance_model, instance_model.deadline_ms) + 1e-6, lambda: self._expire_leases(instance_model)
         )
 
-    def _lapse(self, instance_model: InstanceModel) -> None:
+    def _expire_leases(self, instance_model: InstanceModel) -> None:
         if self.clock_ms(instance_model) >= instance_model.deadline_ms:
             for task in list(instance_model.running):
                 self._end_run(instance_model, task, "lapsed")
@@ -226,7 +226,7 @@
     def calls_of_kind(self, kind: str) -> list[Sent]:
         return [sent for sent in self.sent if sent.kind == kind]
 
-    def take(self, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
+    def handle(self, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
         """Execute a call that has arrived."""
         instance_model = self.instance_model
         if not self.listening:
@@ -255,7 +255,7 @@
             return
         refusal = self._refusal(instance_model, task, run, sent.body["deadlineMs"])
         if refusal != "late":
-            self._take_deadline(instance_model, sent.body["deadlineMs"])
+            self._accept_deadline(instance_model, sent.body["deadlineMs"])
         if refusal:
             answer(409, {"clockMs": int(self.clock_ms()), "reason": refusal})
             return
@@ -286,7 +286,7 @@
     def _hold(self, instance_model: InstanceModel, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
         instance_model.ends = [end for end in instance_model.ends if end[0] > sent.body["lastSeen"]]
         if "deadlineMs" in sent.body:
-            self._take_deadline(instance_model, sent.body["deadlineMs"])
+            self._accept_deadline(instance_model, sent.body["deadlineMs"])
         wait_s = sent.body.get("waitMs", 0) / 1000.0
         if not wait_s or instance_model.ends:
             answer(200, self._lists(instance_model))
@@ -339,9 +339,9 @@
         if worker.unreachable:
             return
         if loss is None:
-            world.after(WIRE_DELAY, lambda: worker.take(sent, answered))
-        elif loss.carried_out_after is not None:
-            world.after(loss.carried_out_after, lambda: worker.take(sent, lambda status, body: None))
+            world.after(WIRE_DELAY, lambda: worker.handle(sent, answered))
+        elif loss.executed_after_s is not None:
+            world.after(loss.executed_after_s, lambda: worker.handle(sent, lambda status, body: None))
 
 
 @dataclass
@@ -368,7 +368,7 @@
         self.instance = ""
         self.acknowledged: dict[str, int] = {}
         self.delivered_acknowledgements: dict[str, int] = {}
-        self.most_under_way = 0  # most concurrent reports of one process
+        self.max_concurrent_reports = 0  # of one process
         self.granted_until = 0.0  # end of the latest grant that reached an agent (agent's clock)
         self.on_report: Callable[[AgentReport], None] = lambda report: None
 
@@ -404,7 +404,7 @@
         """Number of the latest report received; pushed orders contain it."""
         return self.reports[-1].number if self.reports else 0
 
-    def take(self, report: AgentReport) -> AgentOrders:
+    def handle(self, report: AgentReport) -> AgentOrders:
         self.reports.append(report)
         self.report_times.append(self.world.time)
         if report.worker is not None:
@@ -435,7 +435,7 @@
         assert isinstance(request, AgentReport)
         report = copied(request)
         self._under_way += 1
-        primary.most_under_way = max(primary.most_under_way, self._under_way)
+        primary.max_concurrent_reports = max(primary.max_concurrent_reports, self._under_way)
         done: list[bool] = []
 
         def end(reply: AgentOrders | None) -> None:
@@ -449,7 +449,7 @@
 
         def arrive() -> None:
             if primary.reachable:
-                orders = copied(primary.take(report))
+                orders = copied(primary.handle(report))
                 world.after(CONTROL_DELAY, lambda: end(orders) if primary.reachable else None)
 
         world.after(patience_s, lambda: end(None))
--- a/tests/system/test_agent.py
+++ b/tests/system/test_agent.py
@@ -32,7 +32,7 @@
         self.site = Site()
         self.answers: list[tuple[int, bytes]] = []
 
-    def beat(self, instance: str, **fields: object) -> None:
+    def send_heartbeat(self, instance: str, **fields: object) -> None:
         body = {"service": "s", "state": "ready", "sequence": 100, **fields}
         self.deliver(instance, json.dumps(body).encode())
 
@@ -51,7 +51,7 @@
     def test_a_malformed_heartbeat_is_refused_with_the_path_of_the_field_and_changes_nothing(self) -> None:
         self.site.settle()
         before = self.site.primary.last.worker
-        self.beat("i-9", capacity={"cpu": "many"})
+        self.send_heartbeat("i-9", capacity={"cpu": "many"})
         self.deliver("i-9", b"{")
         self.site.run(2.0)
         self.assertEqual([400, 400], [status for status, _ in self.answers])
@@ -62,8 +62,8 @@
 
     def test_a_late_heartbeat_is_acknowledged_and_changes_nothing(self) -> None:
         self.site.settle()
-        self.beat("i-1", slots=5, sequence=50)
-        self.beat("i-1", slots=7, sequence=49)
+        self.send_heartbeat("i-1", slots=5, sequence=50)
+        self.send_heartbeat("i-1", slots=7, sequence=49)
         self.site.run(HEARTBEAT_S)
         self.assertEqual([(200, b"{}")] * 2, self.answers)
         assert self.site.primary.last.worker is not None
@@ -88,7 +88,7 @@
         self.site.settle()
         self.site.worker.crash(restart_after=0.2)
         self.site.run(0.5)
-        self.beat("i-1", sequence=1000)
+        self.send_heartbeat("i-1", sequence=1000)
         self.site.run(3.0)
         self.assertEqual((200, b"{}"), self.answers[-1])
         assert self.site.primary.last.worker is not None
@@ -162,7 +162,7 @@
         self.assertEqual({"e", "f"}, refused)
 
     def test_a_start_that_may_still_be_executed_is_stopped_before_it_is_refused(self) -> None:
-        self.site.worker.lose_call = first_calls("run-start", 1, LostCall(carried_out_after=4.0))
+        self.site.worker.lose_call = first_calls("run-start", 1, LostCall(executed_after_s=4.0))
         self.site.order_start("a")
         self.site.run(0.1)
         self.site.worker.drain()
--- a/tests/system/test_agent_courses.py
+++ b/tests/system/test_agent_courses.py
@@ -37,7 +37,7 @@
         self.site.worker.lose_call = self.choose_loss
         self.problems: list[str] = []
         self.settled: dict[tuple[str, int], str] = {}
-        self.impossible: dict[tuple[str, int], str] = {}  # run that must not run -> its worker instance
+        self.ruled_out: dict[tuple[str, int], str] = {}  # run that must not run -> its worker instance
         self.loss_rate = 0.0
         self.count = 0
         self.checked_calls = 0
@@ -149,12 +149,12 @@
         if result.order == "stop":
             primary.stops = [order for order in primary.stops if (order.task, order.run) != key]
         if result.at_hold and key not in {(entry.task, entry.run) for entry in report.running}:
-            self.impossible[key] = report.worker.instance
+            self.ruled_out[key] = report.worker.instance
 
     def check_runs(self) -> None:
         instance_model = self.site.worker.instance_model
         for run in instance_model.running.values():
-            if self.impossible.get((run.task, run.run)) == instance_model.instance:
+            if self.ruled_out.get((run.task, run.run)) == instance_model.instance:
                 self.problems.append(f"{run.task} runs though a report ruled that out")
             if run.task == "forbidden":
                 self.problems.append("an order of an old term was executed")
@@ -189,8 +189,8 @@
             self.site.run(3.0)
         self.check_calls()
         self.check_runs()
-        if primary.most_under_way != 1:
-            self.problems.append(f"{primary.most_under_way} reports were pending at once")
+        if primary.max_concurrent_reports != 1:
+            self.problems.append(f"{primary.max_concurrent_reports} reports were pending at once")
         if primary.starts or primary.stops:
             self.problems.append(f"orders not completed: {primary.starts} {primary.stops}")
         running = {(run.task, run.run) for run in worker.instance_model.running.values()}
--- a/tests/system/test_agent_orders.py
+++ b/tests/system/test_agent_orders.py
@@ -73,7 +73,7 @@
         self.assertEqual(1, len(self.worker.started_runs))
 
     def test_a_start_executed_without_an_answer_is_detected_and_not_executed_twice(self) -> None:
-        self.worker.lose_call = first_calls("run-start", 1, LostCall(carried_out_after=0.001))
+        self.worker.lose_call = first_calls("run-start", 1, LostCall(executed_after_s=0.001))
         self.site.order_start("a")
         self.site.run(2.0)
         self.assertEqual("started", self.outcome("a"))
@@ -115,7 +115,7 @@
             with self.subTest(refusal):
                 site = Site()
                 site.settle()
-                site.worker.lose_call = first_calls("run-start", 1, LostCall(carried_out_after=3.0))
+                site.worker.lose_call = first_calls("run-start", 1, LostCall(executed_after_s=3.0))
                 if refusal == "room":
                     site.worker.capacity = 0
                 site.order_start("a")
@@ -204,7 +204,7 @@
         self.assertEqual(5, self.site.views.offered[-1].term)
 
     def test_a_stop_ends_the_repeats_of_its_start_and_makes_it_impossible(self) -> None:
-        self.worker.lose_call = first_calls("run-start", 1, LostCall(carried_out_after=2.0))
+        self.worker.lose_call = first_calls("run-start", 1, LostCall(executed_after_s=2.0))
         self.site.order_start("a")
         self.site.run(0.1)
         self.site.order_stop("a")
@@ -257,7 +257,7 @@
         self.assertTrue(any(report.lapsed_instance for report in self.site.primary.reports))
 
     def test_a_start_possibly_sent_by_an_earlier_process_is_stopped_before_it_is_refused(self) -> None:
-        self.worker.lose_call = first_calls("run-start", 1, LostCall(carried_out_after=4.0))
+        self.worker.lose_call = first_calls("run-start", 1, LostCall(executed_after_s=4.0))
         self.site.order_start("a")
         self.site.run(0.1)
         self.site.kill()
@@ -439,7 +439,7 @@
         site.run(0.007)  # the report of the first start is pending
         site.order_start("b")
         site.run(1.0)
-        self.assertEqual(1, site.primary.most_under_way)
+        self.assertEqual(1, site.primary.max_concurrent_reports)
 
     def test_an_answer_that_is_not_orders_counts_as_failed(self) -> None:
         site = Site()
--- a/tests/system/test_agent_pace.py
+++ b/tests/system/test_agent_pace.py
@@ -45,22 +45,22 @@
 
 class PollWaitEstimatorTest(unittest.TestCase):
     def test_polls_wait_somewhat_longer_than_runs_take_to_end(self) -> None:
-        pace = PollWaitEstimator()
-        self.assertEqual(LONGEST_WAIT_S, pace.wait_s)
+        estimator = PollWaitEstimator()
+        self.assertEqual(LONGEST_WAIT_S, estimator.wait_s)
         for _ in range(30):
-            pace.ended(0.25)
-        self.assertAlmostEqual(0.5, pace.wait_s, places=2)
+            estimator.ended(0.25)
+        self.assertAlmostEqual(0.5, estimator.wait_s, places=2)
         for _ in range(30):
-            pace.ended(0.001)
-        self.assertEqual(SHORTEST_WAIT_S, pace.wait_s)
+            estimator.ended(0.001)
+        self.assertEqual(SHORTEST_WAIT_S, estimator.wait_s)
 
     def test_polls_without_an_ended_run_wait_longer_and_longer(self) -> None:
-        pace = PollWaitEstimator()
+        estimator = PollWaitEstimator()
         for _ in range(30):
-            pace.ended(0.1)
+            estimator.ended(0.1)
         for _ in range(9):
-            pace.empty(pace.wait_s)
-        self.assertEqual(LONGEST_WAIT_S, pace.wait_s)
+            estimator.empty(estimator.wait_s)
+        self.assertEqual(LONGEST_WAIT_S, estimator.wait_s)
 
 
 class LostCalls(unittest.TestCase):
@@ -107,7 +107,7 @@
         self.assertIn("next", [run.task for run in self.site.worker.started_runs])
         self.assertEqual(0, self.site.primary.last.silent_ms)
 
-    def test_leases_of_a_worker_that_stops_answering_expire_within_the_longest_lease(self) -> None:
+    def test_leases_of_a_worker_that_stops_answering_expire_soon_after_the_longest_lease(self) -> None:
         self.site.order_start("last")
         self.site.run(0.3)
         self.site.worker.unreachable = True
