--- a/tests/system/agent_worker.py
+++ b/tests/system/agent_worker.py
@@ -1,7 +1,7 @@
-"""A worker after PROTOCOL.md and a primary, both in virtual time, for tests of the agent.
+"""Models of a worker (as PROTOCOL.md specifies it) and of a primary, in virtual time, for tests of the agent.
 
-The worker keeps a clock of its own, leaves calls unanswered and carries them out late where it is told to, crashes,
-drains, and lets its tasks lapse. It writes down all that an agent sends, and which runs it began.
+The worker has its own clock. A test can make it lose calls, execute them late, crash or drain. It ends runs when their
+leases expire, and records all calls of an agent and all runs that it started.
 """
 
 from __future__ import annotations
@@ -50,8 +50,8 @@
 
 
 @dataclass
-class Began:
-    """One run that the worker began."""
+class StartedRun:
+    """One run that the worker started."""
 
     at: float
     instance: str
@@ -60,253 +60,255 @@
 
 
 @dataclass
-class Missed:
-    """What is to happen to a call that gets no answer."""
+class LostCall:
+    """What happens to a call that gets no answer."""
 
-    carried_out_after: float | None = None  # seconds; None: never
+    executed_after_s: float | None = None  # seconds; None: it is never executed
 
 
 @dataclass
-class Life:
-    """What one life of the worker knows."""
+class InstanceModel:
+    """The state of one worker instance."""
 
     instance: str
     clock_offset_ms: float
     fence: int = 0
     deadline_ms: float = 0.0
     running: dict[str, Run] = field(default_factory=dict)
-    barred: dict[str, int] = field(default_factory=dict)  # runs up to this never start
+    highest_barred_run: dict[str, int] = field(default_factory=dict)  # task -> runs up to this number never start
     ends: list[tuple[int, str, int, str, str]] = field(default_factory=list)
     next_end: int = 1
     waiting: list[Callable[[], None]] = field(default_factory=list)
     state: str = "ready"
-    state_acknowledged_at: float | None = None
+    draining_acknowledged_at: float | None = None
     sequence: int = 0
 
 
 class ModelWorker:
-    """The worker beside an agent."""
+    """Model of the worker beside an agent."""
 
     def __init__(self, world: World, rate: float = 0.98, capacity: int = 1000, hold_max_ms: float = 6000.0) -> None:
         self.world = world
         self.rate = rate
-        self.capacity = capacity  # runs at once
+        self.capacity = capacity  # maximum number of concurrent runs
         self.hold_max_ms = hold_max_ms
         self.stop_s = 0.2
         self.agent: Callable[[], Agent | None] = lambda: None
         self.listening = True
-        self.heard = True  # heartbeats reach the agent
-        self.dark = False  # calls neither arrive nor are answered
-        self.unhealthy = 0  # so many calls answered with 503
-        self.misses: Callable[[Sent], Missed | None] = lambda sent: None
-        self.forced: Callable[[Sent], str] = lambda sent: ""  # reason of a 409 that is not due
+        self.heartbeats_delivered = True  # whether heartbeats reach the agent
+        self.unreachable = False  # calls do not arrive
+        self.unhealthy = 0  # the number of calls that it still answers with 503
+        self.lose_call: Callable[[Sent], LostCall | None] = lambda sent: None
+        self.forced_refusal: Callable[[Sent], str] = lambda sent: ""  # reason of an injected answer 409
         self.answer_delay: Callable[[Sent], float] = lambda sent: WIRE_DELAY
         self.sent: list[Sent] = []
-        self.began: list[Began] = []
-        self.lives: list[Life] = []
-        self.life = self._new_life()
-        self._beat()
+        self.started_runs: list[StartedRun] = []
+        self.instance_models: list[InstanceModel] = []
+        self.instance_model = self._new_instance_model()
+        self._schedule_heartbeat()
 
-    # ---- its own course
+    # ---- instances, heartbeats and runs
 
-    def _new_life(self) -> Life:
-        life = Life(f"i-{len(self.lives) + 1}", self.world.random.uniform(0, 1e6))
-        self.lives.append(life)
-        return life
+    def _new_instance_model(self) -> InstanceModel:
+        instance_model = InstanceModel(f"i-{len(self.instance_models) + 1}", self.world.random.uniform(0, 1e6))
+        self.instance_models.append(instance_model)
+        return instance_model
 
-    def clock_ms(self, life: Life | None = None) -> float:
-        return (life or self.life).clock_offset_ms + self.world.time * 1000.0 * self.rate
+    def clock_ms(self, instance_model: InstanceModel | None = None) -> float:
+        return (instance_model or self.instance_model).clock_offset_ms + self.world.time * 1000.0 * self.rate
 
-    def time_of(self, life: Life, clock_ms: float) -> float:
-        """Virtual time at which that life's clock shows `clock_ms`."""
-        return (clock_ms - life.clock_offset_ms) / (1000.0 * self.rate)
+    def time_of(self, instance_model: InstanceModel, clock_ms: float) -> float:
+        """Virtual time at which the clock of that instance shows `clock_ms`."""
+        return (clock_ms - instance_model.clock_offset_ms) / (1000.0 * self.rate)
 
-    def _beat(self) -> None:
-        self.world.after(HEARTBEAT_S, self._beat)
+    def _schedule_heartbeat(self) -> None:
+        self.world.after(HEARTBEAT_S, self._schedule_heartbeat)
         if self.listening:
             self.heartbeat()
 
     def heartbeat(self) -> None:
         """Send one heartbeat."""
-        life = self.life
-        life.sequence += 1
-        body = self.account(life)
-        if self.heard:
-            self.world.after(WIRE_DELAY, lambda: self.deliver(life, body))
-
-    def account(self, life: Life) -> bytes:
-        told = {
+        instance_model = self.instance_model
+        instance_model.sequence += 1
+        body = self.heartbeat_body(instance_model)
+        if self.heartbeats_delivered:
+            self.world.after(WIRE_DELAY, lambda: self.deliver(instance_model, body))
+
+    def heartbeat_body(self, instance_model: InstanceModel) -> bytes:
+        body = {
             "service": "s",
             "address": "10.0.0.9:8080",
-            "state": life.state,
+            "state": instance_model.state,
             "slots": 8,
             "capacity": {"cpu": 16000, "memoryLimitMb": 32768, "gpu": 0},
             "labels": ["a", "r1-3"],
-            "clockMs": int(self.clock_ms(life)),
-            "sequence": life.sequence,
+            "clockMs": int(self.clock_ms(instance_model)),
+            "sequence": instance_model.sequence,
         }
-        if life.state == "draining":
-            told["remainingMs"] = 2000
-        return json.dumps(told).encode()
+        if instance_model.state == "draining":
+            body["remainingMs"] = 2000
+        return json.dumps(body).encode()
 
-    def deliver(self, life: Life, body: bytes) -> None:
-        """A heartbeat reaches the agent, if there is one."""
+    def deliver(self, instance_model: InstanceModel, body: bytes) -> None:
+        """Deliver a heartbeat to the agent, if it is running."""
         agent = self.agent()
         if agent is None:
             return
         draining = b'"draining"' in body
 
         def acknowledged(status: int, answer: bytes) -> None:
-            if status == 200 and draining and life.state_acknowledged_at is None:
-                life.state_acknowledged_at = self.world.time
+            if status == 200 and draining and instance_model.draining_acknowledged_at is None:
+                instance_model.draining_acknowledged_at = self.world.time
 
-        agent.heartbeat(life.instance, body, acknowledged)
+        agent.heartbeat(instance_model.instance, body, acknowledged)
 
     def drain(self) -> None:
-        """Announce the end of this life."""
-        self.life.state = "draining"
+        """Announce that this instance is draining."""
+        self.instance_model.state = "draining"
         self.heartbeat()
 
     def leave(self) -> None:
-        """Say goodbye, and end shortly after."""
+        """Announce the exit, and end shortly afterwards."""
         agent = self.agent()
         if agent is not None:
-            agent.leave(self.life.instance, lambda status, body: None)
+            agent.leave(self.instance_model.instance, lambda status, body: None)
         self.world.after(0.05, self.end)
 
     def end(self) -> None:
-        """End, or crash: nothing runs any more."""
+        """End, or crash: all runs end without a trace."""
         self.listening = False
-        self.life.running.clear()
-        self.life.waiting.clear()
+        self.instance_model.running.clear()
+        self.instance_model.waiting.clear()
 
-    def crash(self, back_after: float = 0.5) -> None:
-        """Crash, and come back under a new id."""
+    def crash(self, restart_after: float = 0.5) -> None:
+        """Crash, and restart as a new instance."""
         self.end()
-        self.world.after(back_after, self.come_back)
+        self.world.after(restart_after, self.restart)
 
-    def come_back(self) -> None:
-        self.life = self._new_life()
+    def restart(self) -> None:
+        self.instance_model = self._new_instance_model()
         self.listening = True
         self.heartbeat()
 
     def finish(self, task: str, how: str = "done") -> None:
-        """A run ends by itself."""
-        self._end_run(self.life, task, how)
+        """End a run as if its task had finished by itself."""
+        self._end_run(self.instance_model, task, how)
 
-    def _end_run(self, life: Life, task: str, how: str) -> None:
-        run = life.running.pop(task, None)
-        if run is None or life is not self.life:
+    def _end_run(self, instance_model: InstanceModel, task: str, how: str) -> None:
+        run = instance_model.running.pop(task, None)
+        if run is None or instance_model is not self.instance_model:
             return
-        life.barred[task] = max(life.barred.get(task, 0), run.run)
-        life.ends.append((life.next_end, task, run.run, how, run.saved))
-        life.next_end += 1
-        waiting, life.waiting = life.waiting, []
+        instance_model.highest_barred_run[task] = max(instance_model.highest_barred_run.get(task, 0), run.run)
+        instance_model.ends.append((instance_model.next_end, task, run.run, how, run.saved))
+        instance_model.next_end += 1
+        waiting, instance_model.waiting = instance_model.waiting, []
         for answer in waiting:
             answer()
 
-    def _take_deadline(self, life: Life, deadline_ms: float) -> None:
-        cut = min(deadline_ms, self.clock_ms(life) + self.hold_max_ms)
-        life.deadline_ms = max(life.deadline_ms, cut)
-        self.world.at(self.time_of(life, life.deadline_ms) + 1e-6, lambda: self._lapse(life))
+    def _accept_deadline(self, instance_model: InstanceModel, deadline_ms: float) -> None:
+        cut = min(deadline_ms, self.clock_ms(instance_model) + self.hold_max_ms)
+        instance_model.deadline_ms = max(instance_model.deadline_ms, cut)
+        self.world.at(
+            self.time_of(instance_model, instance_model.deadline_ms) + 1e-6, lambda: self._expire_leases(instance_model)
+        )
 
-    def _lapse(self, life: Life) -> None:
-        if self.clock_ms(life) >= life.deadline_ms:
-            for task in list(life.running):
-                self._end_run(life, task, "lapsed")
+    def _expire_leases(self, instance_model: InstanceModel) -> None:
+        if self.clock_ms(instance_model) >= instance_model.deadline_ms:
+            for task in list(instance_model.running):
+                self._end_run(instance_model, task, "lapsed")
 
     # ---- calls
 
     def calls(self, process: Process) -> ModelCalls:
-        """The port of one life of the agent's process."""
+        """The port for one process of the agent."""
         return ModelCalls(self, process)
 
-    def of_kind(self, kind: str) -> list[Sent]:
+    def calls_of_kind(self, kind: str) -> list[Sent]:
         return [sent for sent in self.sent if sent.kind == kind]
 
-    def take(self, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
-        """Carry out a call that has arrived."""
-        life = self.life
+    def handle(self, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
+        """Execute a call that has arrived."""
+        instance_model = self.instance_model
         if not self.listening:
             return
-        if sent.instance and sent.instance != life.instance:
+        if sent.instance and sent.instance != instance_model.instance:
             answer(421, {"clockMs": self.clock_ms()})
             return
         if self.unhealthy and sent.kind != "hold":
             self.unhealthy -= 1
             answer(503, {})
             return
-        if sent.body.get("fenceToken", 0) < life.fence:
+        if sent.body.get("fenceToken", 0) < instance_model.fence:
             answer(409, {"clockMs": int(self.clock_ms()), "reason": "fence"})
             return
-        forced = self.forced(sent)
-        if forced:
-            answer(409, {"clockMs": int(self.clock_ms()), "reason": forced})
+        forced_refusal = self.forced_refusal(sent)
+        if forced_refusal:
+            answer(409, {"clockMs": int(self.clock_ms()), "reason": forced_refusal})
             return
-        life.fence = sent.body["fenceToken"]
-        {"run-start": self._start, "run-stop": self._stop, "hold": self._hold}[sent.kind](life, sent, answer)
+        instance_model.fence = sent.body["fenceToken"]
+        {"run-start": self._start, "run-stop": self._stop, "hold": self._hold}[sent.kind](instance_model, sent, answer)
 
-    def _start(self, life: Life, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
+    def _start(self, instance_model: InstanceModel, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
         task, run = sent.body["task"], sent.body["runId"]
         if not sent.body["spec"]:
             answer(400, {"clockMs": int(self.clock_ms())})
             return
-        refusal = self._refusal(life, task, run, sent.body["deadlineMs"])
+        refusal = self._refusal(instance_model, task, run, sent.body["deadlineMs"])
         if refusal != "late":
-            self._take_deadline(life, sent.body["deadlineMs"])
+            self._accept_deadline(instance_model, sent.body["deadlineMs"])
         if refusal:
             answer(409, {"clockMs": int(self.clock_ms()), "reason": refusal})
             return
-        if task not in life.running:
-            life.running[task] = Run(task, run)
-            self.began.append(Began(self.world.time, life.instance, task, run))
+        if task not in instance_model.running:
+            instance_model.running[task] = Run(task, run)
+            self.started_runs.append(StartedRun(self.world.time, instance_model.instance, task, run))
         answer(200, {"clockMs": int(self.clock_ms())})
 
-    def _refusal(self, life: Life, task: str, run: int, deadline_ms: float) -> str:
-        there = life.running.get(task)
-        if there is not None and there.run == run:
+    def _refusal(self, instance_model: InstanceModel, task: str, run: int, deadline_ms: float) -> str:
+        running = instance_model.running.get(task)
+        if running is not None and running.run == run:
             return ""
-        if deadline_ms <= self.clock_ms(life):
+        if deadline_ms <= self.clock_ms(instance_model):
             return "late"
-        if run <= life.barred.get(task, 0) or there is not None:
+        if run <= instance_model.highest_barred_run.get(task, 0) or running is not None:
             return "old"
-        return "room" if len(life.running) >= self.capacity else ""
+        return "room" if len(instance_model.running) >= self.capacity else ""
 
-    def _stop(self, life: Life, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
+    def _stop(self, instance_model: InstanceModel, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
         task, run = sent.body["task"], sent.body["runId"]
-        life.barred[task] = max(life.barred.get(task, 0), run)
-        there = life.running.get(task)
-        if there is not None and there.run == run and not there.stopping:
-            there.stopping = True
-            self.world.after(self.stop_s, lambda: self._end_run(life, task, "stopped"))
+        instance_model.highest_barred_run[task] = max(instance_model.highest_barred_run.get(task, 0), run)
+        running = instance_model.running.get(task)
+        if running is not None and running.run == run and not running.stopping:
+            running.stopping = True
+            self.world.after(self.stop_s, lambda: self._end_run(instance_model, task, "stopped"))
         answer(200, {"clockMs": int(self.clock_ms())})
 
-    def _hold(self, life: Life, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
-        life.ends = [end for end in life.ends if end[0] > sent.body["lastSeen"]]
+    def _hold(self, instance_model: InstanceModel, sent: Sent, answer: Callable[[int, dict[str, Any]], None]) -> None:
+        instance_model.ends = [end for end in instance_model.ends if end[0] > sent.body["lastSeen"]]
         if "deadlineMs" in sent.body:
-            self._take_deadline(life, sent.body["deadlineMs"])
+            self._accept_deadline(instance_model, sent.body["deadlineMs"])
         wait_s = sent.body.get("waitMs", 0) / 1000.0
-        if not wait_s or life.ends:
-            answer(200, self._lists(life))
+        if not wait_s or instance_model.ends:
+            answer(200, self._lists(instance_model))
             return
         answered: list[bool] = []
 
         def now() -> None:
-            if not answered and self.life is life and self.listening:
+            if not answered and self.instance_model is instance_model and self.listening:
                 answered.append(True)
-                answer(200, self._lists(life))
+                answer(200, self._lists(instance_model))
 
-        life.waiting.append(now)
+        instance_model.waiting.append(now)
         self.world.after(wait_s, now)
 
-    def _lists(self, life: Life) -> dict[str, Any]:
-        running = [[run.task, run.run, run.saved, 10] for run in life.running.values()]
-        finished = [list(end) for end in life.ends[:500]]
-        return {"clockMs": int(self.clock_ms(life)), "running": running, "finished": finished}
+    def _lists(self, instance_model: InstanceModel) -> dict[str, Any]:
+        running = [[run.task, run.run, run.saved, 10] for run in instance_model.running.values()]
+        finished = [list(end) for end in instance_model.ends[:500]]
+        return {"clockMs": int(self.clock_ms(instance_model)), "running": running, "finished": finished}
 
 
 class ModelCalls:
-    """`WorkerCalls` of one agent process."""
+    """`WorkerCalls` for one process of the agent."""
 
     def __init__(self, worker: ModelWorker, process: Process) -> None:
         self._worker = worker
@@ -325,33 +327,33 @@
                 answers.append(answer)
                 self._process.deliver(lambda: on_answer(answer))
 
-        def answered(status: int, told: dict[str, Any]) -> None:
-            answer = WorkerAnswer(status, json.dumps(told).encode())
+        def answered(status: int, body: dict[str, Any]) -> None:
+            answer = WorkerAnswer(status, json.dumps(body).encode())
             world.after(worker.answer_delay(sent), lambda: end(answer))
 
         world.after(timeout, lambda: end(WorkerAnswer()))
         if not worker.listening:
             world.after(WIRE_DELAY, lambda: end(WorkerAnswer(refused=True)))
             return
-        missed = worker.misses(sent)
-        if worker.dark:
+        loss = worker.lose_call(sent)
+        if worker.unreachable:
             return
-        if missed is None:
-            world.after(WIRE_DELAY, lambda: worker.take(sent, answered))
-        elif missed.carried_out_after is not None:
-            world.after(missed.carried_out_after, lambda: worker.take(sent, lambda status, told: None))
+        if loss is None:
+            world.after(WIRE_DELAY, lambda: worker.handle(sent, answered))
+        elif loss.executed_after_s is not None:
+            world.after(loss.executed_after_s, lambda: worker.handle(sent, lambda status, body: None))
 
 
 @dataclass
 class PrimaryOutcome:
-    """Outcome of a call to the primary."""
+    """Result of a call to the primary."""
 
     reply: Struct | None = None
     may_have_run: bool = True
 
 
 class ModelPrimary:
-    """A primary: answers reports, repeats its orders, and acknowledges ends."""
+    """Model of a primary: answers reports, repeats its orders, and acknowledges ended runs."""
 
     def __init__(self, world: World, grant_ms: int = 6000) -> None:
         self.world = world
@@ -365,9 +367,9 @@
         self.stops: list[StopOrder] = []
         self.instance = ""
         self.acknowledged: dict[str, int] = {}
-        self.delivered_acknowledged: dict[str, int] = {}
-        self.most_under_way = 0  # reports of one process at once
-        self.permitted_until = 0.0  # by answers that reached an agent (agent's clock)
+        self.delivered_acknowledgements: dict[str, int] = {}
+        self.max_concurrent_reports = 0  # of one process
+        self.granted_until = 0.0  # end of the latest grant that reached an agent (agent's clock)
         self.on_report: Callable[[AgentReport], None] = lambda report: None
 
     @property
@@ -375,21 +377,21 @@
         return self.reports[-1]
 
     def results(self) -> list[tuple[str, int, str, str]]:
-        """All results ever reported, each once, in their order."""
-        told: dict[tuple[str, int, str, str], None] = {}
+        """All reported results without duplicates, in the order of their first report."""
+        reported: dict[tuple[str, int, str, str], None] = {}
         for report in self.reports:
             for result in report.results:
-                told[result.task, result.run, result.order, result.outcome] = None
-        return list(told)
+                reported[result.task, result.run, result.order, result.outcome] = None
+        return list(reported)
 
     def orders(self, report: AgentReport | None = None) -> AgentOrders:
-        """What the agent is to do."""
+        """The current orders for the agent: pushed, or as the answer to `report`."""
         return AgentOrders(
             term=self.term,
             primary="p",
             address="p:1",
             sent_at=0.0 if report is None else report.sent_at,
-            report_number=self.newest_report() if report is None else report.number,
+            report_number=self.last_report_number() if report is None else report.number,
             grant_ms=0 if report is None else self.grant_ms,
             instance=self.instance,
             acknowledged=self.acknowledged.get(self.instance, 0),
@@ -398,11 +400,11 @@
             view=View(epoch=self.term, term=self.term, primary="p"),
         )
 
-    def newest_report(self) -> int:
-        """Number of the report heard last; orders sent by themselves carry it."""
+    def last_report_number(self) -> int:
+        """Number of the latest report received; pushed orders contain it."""
         return self.reports[-1].number if self.reports else 0
 
-    def take(self, report: AgentReport) -> AgentOrders:
+    def handle(self, report: AgentReport) -> AgentOrders:
         self.reports.append(report)
         self.report_times.append(self.world.time)
         if report.worker is not None:
@@ -413,15 +415,15 @@
         self.on_report(report)
         return self.orders(report)
 
-    def note_delivered(self, orders: AgentOrders) -> None:
-        known = self.delivered_acknowledged.get(orders.instance, 0)
-        self.delivered_acknowledged[orders.instance] = max(known, orders.acknowledged)
+    def record_delivered(self, orders: AgentOrders) -> None:
+        known = self.delivered_acknowledgements.get(orders.instance, 0)
+        self.delivered_acknowledgements[orders.instance] = max(known, orders.acknowledged)
         if orders.sent_at:
-            self.permitted_until = max(self.permitted_until, orders.sent_at + orders.grant_ms / 1000.0)
+            self.granted_until = max(self.granted_until, orders.sent_at + orders.grant_ms / 1000.0)
 
 
 class ModelPrimaryCalls:
-    """Calls to the primary from one agent process."""
+    """Calls to the primary from one process of the agent."""
 
     def __init__(self, primary: ModelPrimary, process: Process) -> None:
         self._primary = primary
@@ -433,7 +435,7 @@
         assert isinstance(request, AgentReport)
         report = copied(request)
         self._under_way += 1
-        primary.most_under_way = max(primary.most_under_way, self._under_way)
+        primary.max_concurrent_reports = max(primary.max_concurrent_reports, self._under_way)
         done: list[bool] = []
 
         def end(reply: AgentOrders | None) -> None:
@@ -442,20 +444,20 @@
             done.append(True)
             self._under_way -= 1
             if reply is not None:
-                primary.note_delivered(reply)
+                primary.record_delivered(reply)
             self._process.deliver(lambda: on_done(PrimaryOutcome(reply)))
 
         def arrive() -> None:
             if primary.reachable:
-                orders = copied(primary.take(report))
+                orders = copied(primary.handle(report))
                 world.after(CONTROL_DELAY, lambda: end(orders) if primary.reachable else None)
 
         world.after(timeout_s, lambda: end(None))
         world.after(CONTROL_DELAY, arrive)
 
 
-class Events:
-    """A log that keeps what is written."""
+class EventRecorder:
+    """A log that records its events."""
 
     def __init__(self) -> None:
         self.events: list[tuple[str, dict[str, object]]] = []
@@ -467,8 +469,8 @@
         self.events.append((event, fields))
 
 
-class Views:
-    """Membership that keeps the views it is offered."""
+class RecordedViews:
+    """A membership that records the views that it is offered."""
 
     def __init__(self) -> None:
         self.offered: list[View] = []
@@ -478,7 +480,7 @@
 
 
 class Site:
-    """One machine with a worker, its agent, and a primary elsewhere."""
+    """A machine with a worker and its agent, and a remote primary."""
 
     def __init__(
         self, seed: int = 0, rate: float = 0.98, capacity: int = 1000, hold_max_ms: float = 6000.0, grant_ms: int = 6000
@@ -489,17 +491,17 @@
         self.worker.agent = self.running_agent
         self.primary = ModelPrimary(self.world, grant_ms)
         self.bounds = Bounds(hold_max_ms=hold_max_ms)
-        self.log = Events()
-        self.views = Views()
+        self.log = EventRecorder()
+        self.views = RecordedViews()
         self.agent: Agent | None = None
         self._incarnation = 0
 
     def start(self) -> None:
-        """Start the agent (again)."""
+        """Start or restart the agent."""
         self.machine.start(self._program)
 
     def kill(self) -> None:
-        """End the agent's process."""
+        """Kill the process of the agent."""
         self.machine.kill()
 
     def _program(self, process: Process) -> None:
@@ -522,10 +524,10 @@
         return self.agent if self.machine.running else None
 
     def push(self, orders: AgentOrders | None = None) -> OrdersReply:
-        """Send orders to the agent by themselves; its answer comes at once."""
+        """Push orders to the agent, and return its answer, which comes at once."""
         replies: list[Struct] = []
         message = copied(orders or self.primary.orders())
-        self.primary.note_delivered(message)
+        self.primary.record_delivered(message)
         assert self.machine.process is not None
         self.machine.process.handlers.call(message, replies.append)
         (reply,) = replies
@@ -536,17 +538,17 @@
         self.world.run_for(seconds)
 
     def settle(self) -> None:
-        """Start the agent, and let it learn of its worker and its primary; earlier holds have lapsed then."""
+        """Start the agent and run until it knows worker and primary, and leases of an earlier agent have expired."""
         self.start()
         self.world.run_for(8.0)
 
     def order_start(self, task: str, run: int = 1, saved: str = "", spec: str = "text") -> None:
-        """The primary orders a start, now and with each answer."""
+        """Make the primary order a start, now and with each answer."""
         self.primary.starts.append(StartOrder(task, run, spec, saved))
         self.push()
 
     def order_stop(self, task: str, run: int = 1) -> None:
-        """The primary orders a stop, now and with each answer."""
+        """Make the primary order a stop, now and with each answer."""
         self.primary.starts = [order for order in self.primary.starts if (order.task, order.run) != (task, run)]
         self.primary.stops.append(StopOrder(task, run))
         self.push()
