--- a/pipitledge/agent/worker_line.py
+++ b/pipitledge/agent/worker_line.py
@@ -9,7 +9,7 @@
 
 from pipitledge.agent.life import Life
 from pipitledge.agent.worker_messages import AnswerBody
-from pipitledge.runtime.ports import Clock, WorkerAnswer, WorkerCalls
+from pipitledge.runtime.ports import Clock, WorkerClient, WorkerResponse
 
 NO_ANSWER = 0
 OK = 200
@@ -30,7 +30,7 @@
 class WorkerLine:
     """The way to the worker."""
 
-    def __init__(self, clock: Clock, calls: WorkerCalls) -> None:
+    def __init__(self, clock: Clock, calls: WorkerClient) -> None:
         """Call through the port `calls`."""
         self._clock = clock
         self._calls = calls
@@ -50,14 +50,14 @@
         """
         sent_at = self._clock.now()
 
-        def answered(answer: WorkerAnswer) -> None:
+        def answered(answer: WorkerResponse) -> None:
             if answer.status != NO_ANSWER and not waits:
                 life.answer_times.answered(self._clock.now() - sent_at)
             on_reply(self._take(life, sent_at, answer))
 
         self._calls.post(path, msgspec.json.encode(body), life.instance, timeout, answered)
 
-    def _take(self, life: Life, sent_at: float, answer: WorkerAnswer) -> WorkerReply:
+    def _take(self, life: Life, sent_at: float, answer: WorkerResponse) -> WorkerReply:
         now = self._clock.now()
         if answer.status == NO_ANSWER:
             life.call_unanswered(sent_at, now, answer.refused)
--- a/pipitledge/cli/data_folder.py
+++ b/pipitledge/cli/data_folder.py
@@ -13,8 +13,8 @@
 from msgspec import Struct
 
 from pipitledge.replication.records import EpochRecord, Snapshot, decode_entries, decode_epochs, decode_snapshot
-from pipitledge.runtime import slots
-from pipitledge.runtime.storage import EPOCHS_NAMES, LOG_NAMES, STATE_NAMES, Recovered, Store
+from pipitledge.runtime import slot_files
+from pipitledge.runtime.storage import EPOCHS_NAMES, LOG_NAMES, STATE_NAMES, RecoveredData, Store
 from pipitledge.wire.codec import WireError, decode_record
 from pipitledge.wire.messages import (
     ChangeRecord,
@@ -93,7 +93,7 @@
     return {field: _readable_field(record_type, field, getattr(record, field)) for field in record.__struct_fields__}
 
 
-def _content(recovered: Recovered, generation: int) -> FolderContent:
+def _content(recovered: RecoveredData, generation: int) -> FolderContent:
     """Carry out the log on the snapshot."""
     snapshot = decode_snapshot(recovered.snapshot) if recovered.snapshot is not None else Snapshot()
     state = dict(zip(snapshot.keys, snapshot.values, strict=True))
@@ -144,7 +144,7 @@
 def _generation(copies: _Copies) -> int:
     """Of the newest valid snapshot; 0 if there is none."""
     contents = [copies.content(name) for name in STATE_NAMES]
-    records = [slots.decode(slots.SNAPSHOT_MAGIC, content) for content in contents]
+    records = [slot_files.decode(slot_files.SNAPSHOT_MAGIC, content) for content in contents]
     return max((record.counter for record in records if record is not None), default=0)
 
 
--- a/pipitledge/emulator/cluster/virtual.py
+++ b/pipitledge/emulator/cluster/virtual.py
@@ -180,7 +180,7 @@
 
     def _size_of(self, message: Struct | None) -> int:
         """Bytes that a call or an answer takes on its way, as processes send it."""
-        return HEAD_BYTES + (len(message_body.pack(codec.encode(message)).data) if message is not None else 0)
+        return HEAD_BYTES + (len(message_body.compress(codec.encode(message)).data) if message is not None else 0)
 
     def left_at(self, name: str, size: int) -> float:
         """When the last of `size` bytes has left a machine by its link."""
--- a/pipitledge/emulator/cluster/worker.py
+++ b/pipitledge/emulator/cluster/worker.py
@@ -10,7 +10,7 @@
 
 from pipitledge.agent.agent import Agent
 from pipitledge.emulator.cluster.deployment import HEARTBEAT_MS, WorkerPlan
-from pipitledge.runtime.ports import WorkerAnswer
+from pipitledge.runtime.ports import WorkerResponse
 from pipitledge.runtime.settings import Bounds
 
 WIRE_S = 0.001
@@ -445,7 +445,7 @@
 
 
 class ModelCalls:
-    """`WorkerCalls` of one agent process."""
+    """`WorkerClient` of one agent process."""
 
     def __init__(self, worker: ModelWorker, process: Caller) -> None:
         """Carry the calls of `process` to `worker`."""
@@ -453,27 +453,27 @@
         self._process = process
 
     def post(
-        self, path: str, body: bytes, instance: str, timeout: float, on_answer: Callable[[WorkerAnswer], None]
+        self, path: str, body: bytes, instance: str, timeout: float, on_answer: Callable[[WorkerResponse], None]
     ) -> None:
         """POST JSON to the worker, meant for its life `instance` (empty: any)."""
         worker, world = self._worker, self._worker.world
         kind, told = path.rsplit("/", 1)[1], json.loads(body)
-        answers: list[WorkerAnswer] = []
+        answers: list[WorkerResponse] = []
 
-        def end(answer: WorkerAnswer) -> None:
+        def end(answer: WorkerResponse) -> None:
             if not answers:
                 answers.append(answer)
                 self._process.deliver(lambda: on_answer(answer))
 
         def answered(status: int, content: dict[str, Any]) -> None:
-            answer = WorkerAnswer(status, json.dumps(content).encode())
+            answer = WorkerResponse(status, json.dumps(content).encode())
             world.after(WIRE_S * world.random.uniform(0.5, 2.0), lambda: None if worker.dark else end(answer))
 
-        world.after(timeout, lambda: end(WorkerAnswer()))
+        world.after(timeout, lambda: end(WorkerResponse()))
         if worker.dark:
             return
         if not worker.up:
-            world.after(WIRE_S, lambda: end(WorkerAnswer(refused=True)))
+            world.after(WIRE_S, lambda: end(WorkerResponse(refused=True)))
         elif world.random.random() >= worker.unanswered:
             world.after(WIRE_S, lambda: worker.take(kind, told, instance, answered))
         elif world.random.random() < 0.6:
--- a/pipitledge/emulator/soak/run.py
+++ b/pipitledge/emulator/soak/run.py
@@ -24,7 +24,7 @@
 from pipitledge.emulator.soak.record import Finding, Record
 from pipitledge.emulator.soak.workers import SocketWorkers
 from pipitledge.runtime import logs
-from pipitledge.runtime.host import Host
+from pipitledge.runtime.executor import SerialExecutor
 
 START_SECONDS = 30.0  # for all nodes to be ready for the first time
 STOP_SECONDS = 20.0  # for stops under way when the planned work ends
@@ -59,9 +59,9 @@
         self.record = Record(plan.deployment.bounds.loss_slack_ms)
         self._random = Random(f"run {plan.seed}")
         self._first_seeds = self._draw_seeds()
-        self._host = Host(logs.get("soak"))
+        self._executor = SerialExecutor(logs.get("soak"))
         self.processes = {machine.name: self._process(machine) for machine in plan.machines}
-        self._workers = SocketWorkers(plan, self._host, self.record)
+        self._workers = SocketWorkers(plan, self._executor, self.record)
         self._platform = Platform(plan)
         self._operator = Operator(plan, self.record)
 
@@ -84,7 +84,7 @@
         return self._verdict()
 
     def _start(self) -> None:
-        self._host.start()
+        self._executor.start()
         self._workers.start()
         for process in self.processes.values():
             process.start(bootstrap=True)
--- a/pipitledge/emulator/soak/workers.py
+++ b/pipitledge/emulator/soak/workers.py
@@ -12,12 +12,12 @@
 from pipitledge.emulator.cluster.worker import Gangs, ModelWorker, Onlooker
 from pipitledge.emulator.soak.plan import WORKER_PORT, MachinePlan, SoakPlan
 from pipitledge.runtime import logs
-from pipitledge.runtime.call_threads import CallLimits, CallOutcome, CallThreads, PendingCall
+from pipitledge.runtime.call_threads import CallLimits, CallOutcome, CallThreadPool, PendingCall
 from pipitledge.runtime.exchanges import HandlerExchange
-from pipitledge.runtime.host import Host
+from pipitledge.runtime.executor import SerialExecutor
 from pipitledge.runtime.http_server import HttpServer, ServerOptions
 from pipitledge.runtime.http_types import HttpRequest, HttpResponse, Respond
-from pipitledge.runtime.worker_calls import INSTANCE_HEADER
+from pipitledge.runtime.worker_client import INSTANCE_HEADER
 from pipitledge.wire.paths import INSTANCES_PREFIX
 
 ANSWER_SECONDS = 5.0
@@ -28,31 +28,31 @@
 class RealWorld:
     """Time as the workers of a real run see it; implements `WorkerWorld`."""
 
-    def __init__(self, host: Host, random: Random) -> None:
+    def __init__(self, host: SerialExecutor, random: Random) -> None:
         """Run everything under the lock of `host`."""
-        self._host = host
+        self._executor = host
         self.random = random
 
     @property
     def time(self) -> float:
         """Steady time, seconds."""
-        return self._host.now()
+        return self._executor.now()
 
     def at(self, when: float, action: Callable[[], None]) -> None:
         """Run `action` at that time."""
-        self._host.at(when, action)
+        self._executor.at(when, action)
 
     def after(self, delay: float, action: Callable[[], None]) -> None:
         """Run `action` after `delay` seconds."""
-        self._host.at(self._host.now() + delay, action)
+        self._executor.at(self._executor.now() + delay, action)
 
 
 class AgentOverHttp:
     """The agent's process as its worker calls it; has the two calls of `Agent` that a worker makes."""
 
-    def __init__(self, host: Host, machine: MachinePlan, threads: CallThreads) -> None:
+    def __init__(self, host: SerialExecutor, machine: MachinePlan, threads: CallThreadPool) -> None:
         """Call the agent on `machine` on one of `threads`."""
-        self._host = host
+        self._executor = host
         self._machine = machine
         self._threads = threads
 
@@ -67,7 +67,7 @@
     def _call(self, method: str, instance: str, body: bytes, answer: Callable[[int, bytes], None]) -> None:
         def perform() -> CallOutcome:
             status, content = self._exchange(method, instance, body)
-            self._host.run(lambda: answer(status, content), "heartbeat")
+            self._executor.run(lambda: answer(status, content), "heartbeat")
             return CallOutcome.REACHED
 
         self._threads.submit(PendingCall(self._machine.control_plane, perform, lambda: True))
@@ -88,10 +88,10 @@
 class SocketWorkers:
     """All workers of a run."""
 
-    def __init__(self, plan: SoakPlan, host: Host, onlooker: Onlooker) -> None:
+    def __init__(self, plan: SoakPlan, host: SerialExecutor, onlooker: Onlooker) -> None:
         """Prepare workers that tell `onlooker` what they run."""
-        self._host = host
-        self._threads = CallThreads("heartbeats", CallLimits(threads=8 + len(plan.agents), per_address=2))
+        self._executor = host
+        self._threads = CallThreadPool("heartbeats", CallLimits(threads=8 + len(plan.agents), per_address=2))
         world = RealWorld(host, Random(f"workers {plan.seed}"))
         bounds = plan.deployment.bounds
         gangs = Gangs(world, onlooker, bounds.gang_ms / 1_000.0)
@@ -111,8 +111,8 @@
             server.start()
 
     def _server(self, machine: MachinePlan, worker: ModelWorker) -> HttpServer:
-        exchange = HandlerExchange(self._host, _handler(worker), ANSWER_SECONDS, "worker call")
-        options = ServerOptions(f"worker {machine.name}", threads=2, most_threads=MOST_POLLS)
+        exchange = HandlerExchange(self._executor, _handler(worker), ANSWER_SECONDS, "worker call")
+        options = ServerOptions(f"worker {machine.name}", threads=2, max_threads=MOST_POLLS)
         return HttpServer(machine.ip, WORKER_PORT, exchange, options, logs.get("soak"))
 
 
--- a/pipitledge/programs/agent.py
+++ b/pipitledge/programs/agent.py
@@ -10,7 +10,7 @@
 from pipitledge.programs.worker_front import worker_front
 from pipitledge.runtime import logs
 from pipitledge.runtime.http_server import ServerOptions
-from pipitledge.runtime.worker_calls import HttpWorkerCalls
+from pipitledge.runtime.worker_client import HttpWorkerClient
 
 CONTROL_BODY_BYTES = 4 * 1024 * 1024
 FINISH_SECONDS = 1.0  # for heartbeats that are being answered when the process is to end
@@ -24,9 +24,9 @@
 
     def end(_terminated_at: float) -> None:
         core.drain()
-        core.host.run(agent.stop, "stop")
+        core.executor.run(agent.stop, "stop")
         core.retire()
-        core.wait_until_retired(core.host.now() + FINISH_SECONDS)
+        core.wait_until_retired(core.executor.now() + FINISH_SECONDS)
 
     core.run(agent.start, end)
 
@@ -35,7 +35,7 @@
     """Assemble the agent's planes."""
     settings = core.settings
     caller = PrimaryCaller(
-        core.host, core.transport, core.membership, random.Random(), my_name=settings.name, detours=core.detours
+        core.executor, core.transport, core.membership, random.Random(), my_name=settings.name, detours=core.detours
     )
     identity = AgentIdentity(
         name=settings.name,
@@ -46,8 +46,8 @@
         service=settings.service,
     )
     agent = Agent(
-        core.host,
-        HttpWorkerCalls(core.host, settings.app),
+        core.executor,
+        HttpWorkerClient(core.executor, settings.app),
         caller,
         core.membership,
         settings.bounds,
@@ -58,7 +58,7 @@
     agent.register(core.handlers)
     core.add_status("agent", agent.status)
     if settings.bind.control_plane:
-        options = ServerOptions("workers", threads=1, most_threads=4, body_limit=CONTROL_BODY_BYTES, connections=64)
+        options = ServerOptions("workers", threads=1, max_threads=4, body_limit=CONTROL_BODY_BYTES, connections=64)
         core.serve(settings.bind.control_plane, worker_front(agent), options)
     return agent
 
--- a/pipitledge/programs/control.py
+++ b/pipitledge/programs/control.py
@@ -17,7 +17,7 @@
 from pipitledge.runtime.disk_writer import DiskProblem, DiskWriter, MemoryDisk, open_store
 from pipitledge.runtime.logs import EventLog
 from pipitledge.runtime.ports import Disk
-from pipitledge.runtime.storage import Recovered, Store
+from pipitledge.runtime.storage import RecoveredData, Store
 from pipitledge.scheduling.context import NodeIdentity, Ports, SchedulerTimings
 from pipitledge.scheduling.scheduler import Scheduler
 from pipitledge.wire.messages import View
@@ -34,17 +34,17 @@
     def __init__(self, core: Core, log: EventLog) -> None:
         """Open the folder of the settings; a node without one keeps its state in memory."""
         folder = core.settings.data_dir
-        self.recovered = Recovered(fresh=True)
+        self.recovered = RecoveredData(fresh=True)
         self.lost = False  # what was kept can't be read
         self._writer: DiskWriter | None = None
         if not folder:
             log.warning("no_disk", node=core.settings.name)
-            self.port: Disk = MemoryDisk(core.host.soon)
+            self.port: Disk = MemoryDisk(core.executor.soon)
             return
         store = Store(folder)
         self._recover(store, log)
         self._writer = DiskWriter(
-            store, core.host.deliver, lambda problem: _log_refusal(log, problem), core.settings.limits.disk_mb
+            store, core.executor.deliver, lambda problem: _log_refusal(log, problem), core.settings.limits.disk_mb
         )
         self.port = self._writer
 
@@ -61,7 +61,7 @@
     def _recover(self, store: Store, log: EventLog) -> None:
         """Read what was kept; what can't be read is treated like a lost disk."""
         recovered = open_store(store, DISK_PATIENCE_SECONDS)
-        if isinstance(recovered, Recovered) and recovered.corrupt:
+        if isinstance(recovered, RecoveredData) and recovered.corrupt:
             log.error("disk_corrupt", step="open", reason=recovered.corrupt)
             self.lost = True
             store.format()
@@ -91,7 +91,7 @@
     disk = OpenDisk(core, logs.get("disk"))
     services: list[PrimaryService] = []
     replica = Replica(
-        core.host,
+        core.executor,
         core.transport,
         disk.port,
         disk.recovered,
@@ -103,10 +103,10 @@
         services,
         logs.get("replica"),
         internal_addresses(list(settings.seeds), settings.internal_ports[0]),
-        FoundingGate(core.host, core.membership, len(settings.seeds)).open,
+        FoundingGate(core.executor, core.membership, len(settings.seeds)).open,
     )
     keeper = ConfigurationKeeper(replica, logs.get("keeper"))
-    ports = Ports(core.host, core.detours, replica, keeper.current, core.host.wall_ms, logs.get("scheduler"))
+    ports = Ports(core.executor, core.detours, replica, keeper.current, core.executor.wall_ms, logs.get("scheduler"))
     timings = SchedulerTimings(settings.bounds, settings.heartbeat_ms / MS_PER_SECOND)
     scheduler = Scheduler(ports, timings, NodeIdentity(settings.name, core.transport.address), lambda: _agents(core))
     keeper.publish_usage(scheduler.usage)
--- a/pipitledge/programs/core.py
+++ b/pipitledge/programs/core.py
@@ -20,14 +20,14 @@
 from pipitledge.runtime import logs
 from pipitledge.runtime import settings as settings_file
 from pipitledge.runtime.exchanges import HandlerExchange
+from pipitledge.runtime.executor import SerialExecutor
 from pipitledge.runtime.handlers import Handlers, Reply
-from pipitledge.runtime.host import Host
 from pipitledge.runtime.http_server import HttpServer, ServerOptions
 from pipitledge.runtime.http_types import HttpHandler
 from pipitledge.runtime.logs import EventLog
 from pipitledge.runtime.process_signals import SignalLoop
 from pipitledge.runtime.settings import Settings, SettingsProblem
-from pipitledge.runtime.settings_watch import SettingsWatch
+from pipitledge.runtime.settings_watcher import SettingsWatcher
 from pipitledge.runtime.transport import Transport
 from pipitledge.wire.messages import NodeDescriptor, StatusReply, StatusRequest
 
@@ -52,31 +52,31 @@
         self._signals.install()
         self.settings = settings
         self.log = logs.get(settings.role)
-        self.host = Host(logs.get("host"))
+        self.executor = SerialExecutor(logs.get("host"))
         self.handlers = Handlers()
         self.connections = max(64, (settings.limits.max_fds - SPARE_DESCRIPTORS) // 3)  # for each busy server
-        self.transport = Transport(self.host, self.handlers, logs.get("transport"), self.connections)
+        self.transport = Transport(self.executor, self.handlers, logs.get("transport"), self.connections)
         self.transport.bind(settings.ip, settings.internal_ports)
         self.me = _descriptor(settings, self.transport.address)
         self.membership = Membership(
-            self.host, self.transport, random.Random(), self.me, list(settings.seeds), settings.internal_ports[0]
+            self.executor, self.transport, random.Random(), self.me, list(settings.seeds), settings.internal_ports[0]
         )
         self.membership.register(self.handlers)
-        self.detours = Detours(self.host, self.transport, self.membership, self.handlers, random.Random())
+        self.detours = Detours(self.executor, self.transport, self.membership, self.handlers, random.Random())
         self.detours.register()
         self.handlers.on_call(StatusRequest, self._tell_status)
-        self._watch = SettingsWatch(path, settings, self.log)
+        self._watch = SettingsWatcher(path, settings, self.log)
         self._servers: list[HttpServer] = []
         self._sections: dict[str, Status] = {
             "process": self._process_status,
             "members": lambda: members_section(self.me, self.membership),
         }
-        self._started_at = self.host.now()
+        self._started_at = self.executor.now()
 
     def serve(self, address: str, handler: HttpHandler, options: ServerOptions) -> HttpServer:
         """Answer callers from outside at `address` ("ip:port") once the process runs."""
         ip, _, port = address.rpartition(":")
-        exchange = HandlerExchange(self.host, handler, ANSWER_SECONDS, options.name)
+        exchange = HandlerExchange(self.executor, handler, ANSWER_SECONDS, options.name)
         server = HttpServer(ip, int(port), exchange, options, logs.get("http"))
         server.bind()
         self._servers.append(server)
@@ -92,19 +92,19 @@
         `start` is called under the lock. `end` is called on the main thread with the steady time of the order to end,
         from which the time to end counts: the order may have come while the process was still starting.
         """
-        self.host.start()
+        self.executor.start()
         self.transport.start()
         for server in self._servers:
             server.start()
-        self.host.run(self.membership.start, "start of membership")
-        self.host.run(start, "start")
+        self.executor.run(self.membership.start, "start of membership")
+        self.executor.run(start, "start")
         gc.freeze()
         self.log.info("started", node=self.settings.name, address=self.transport.address, serves=self.settings.serves)
         terminated_at = self._signals.run_until_terminated()
-        late_s = self.host.now() - terminated_at
+        late_s = self.executor.now() - terminated_at
         self.log.info("terminating", node=self.settings.name, busy=self.busy(), late_s=late_s)
         end(terminated_at)
-        took_s = self.host.now() - terminated_at
+        took_s = self.executor.now() - terminated_at
         self.log.info("ended", node=self.settings.name, busy=self.busy(), took_s=took_s)
         logs.flush()
         os._exit(0)  # other threads hold nothing that must be saved
@@ -131,7 +131,7 @@
     def wait_until_retired(self, deadline: float, needed: Callable[[], bool] = lambda: False) -> bool:
         """Wait until every call has been answered and the process is not `needed`; False at steady time `deadline`."""
         while needed() or not all(server.finished() for server in self._servers):
-            if self.host.now() >= deadline:
+            if self.executor.now() >= deadline:
                 return False
             time.sleep(RETIRED_LOOK_SECONDS)
         return True
@@ -148,7 +148,7 @@
         """Put new seeds and the time that stops may take in force; all else takes a restart."""
         if changed is not None:
             self.settings = changed
-            self.host.run(lambda: self.membership.update_seeds(list(changed.seeds)), "new settings")
+            self.executor.run(lambda: self.membership.update_seeds(list(changed.seeds)), "new settings")
 
     def _tell_status(self, request: StatusRequest, reply: Reply) -> None:
         """Answer an operator's tool."""
@@ -163,9 +163,9 @@
             "role": self.settings.role,
             "zone": self.settings.zone,
             "address": self.transport.address,
-            "uptimeS": round(self.host.now() - self._started_at, 1),
+            "uptimeS": round(self.executor.now() - self._started_at, 1),
             "threads": threading.active_count(),
-            "failedCallbacks": self.host.failures,
+            "failedCallbacks": self.executor.failures,
             "malformedDatagrams": self.transport.datagrams.malformed,
             "nodesAlive": len(self.membership.nodes()),
             "epoch": view.epoch if view else 0,
--- a/pipitledge/programs/node.py
+++ b/pipitledge/programs/node.py
@@ -40,7 +40,7 @@
         if self._control is None:
             register_diskless_seed(core.handlers, core.me.address, settings.bootstrap, core.membership)
         self._caller = PrimaryCaller(
-            core.host,
+            core.executor,
             core.transport,
             core.membership,
             random.Random(),
@@ -72,9 +72,9 @@
         core = self._core
         ends_at = terminated_at + core.settings.bounds.grace_s - LAST_SECONDS
         core.drain()
-        core.host.run(self._hand_over, "termination")
+        core.executor.run(self._hand_over, "termination")
         stays_until = terminated_at + core.settings.bounds.grace_s * STAY_PART
-        time.sleep(max(0.0, stays_until - core.host.now()))
+        time.sleep(max(0.0, stays_until - core.executor.now()))
         core.retire()
         if not core.wait_until_retired(ends_at - LONGEST_ANSWER_SECONDS, self._relied_on):
             core.refuse()
@@ -95,14 +95,14 @@
         if control is None:
             return False
         answers = list[bool]()
-        self._core.host.run(lambda: answers.append(control.replica.relied_on()), "termination")
+        self._core.executor.run(lambda: answers.append(control.replica.relied_on()), "termination")
         return any(answers)
 
     def _serve_clients(self) -> None:
         """Take clients' calls, and tell the platform whether to send them."""
         core, bind = self._core, self._core.settings.bind
         self._data_plane = DataPlane(
-            core.host, self._caller, core.settings.name, logs.get("data_plane"), core.settings.bounds
+            core.executor, self._caller, core.settings.name, logs.get("data_plane"), core.settings.bounds
         )
         data_plane = self._data_plane
         readiness = Readiness(data_plane)
@@ -112,11 +112,11 @@
             self._caller, self._data_plane, admission, readiness, core.settings.name, logs.get("ingress")
         )
         options = ServerOptions(
-            "frontend", threads=4, most_threads=64, body_limit=CLIENT_BODY_BYTES, connections=core.connections
+            "frontend", threads=4, max_threads=64, body_limit=CLIENT_BODY_BYTES, connections=core.connections
         )
         frontend = core.serve(bind.frontend, client_front(self._ingress), options)
         self._data_plane.on_change(lambda configuration: _apply_limits(frontend, configuration))
-        options = ServerOptions("readiness", threads=1, most_threads=2, connections=64)
+        options = ServerOptions("readiness", threads=1, max_threads=2, connections=64)
         core.serve(bind.readiness, readiness_front(readiness), options)
 
     def _serve_operator(self) -> None:
@@ -125,8 +125,8 @@
         large_answers = LargeAnswers(
             core.membership, settings.name, settings.bind.control_plane, settings.limits.link_mbps
         )
-        front = ControlFront(core.host, self._caller, logs.get("control"), large_answers)
-        options = ServerOptions("control", threads=1, most_threads=24, body_limit=MAX_BODY_BYTES, connections=256)
+        front = ControlFront(core.executor, self._caller, logs.get("control"), large_answers)
+        options = ServerOptions("control", threads=1, max_threads=24, body_limit=MAX_BODY_BYTES, connections=256)
         core.serve(settings.bind.control_plane, operator_front(front), options)
 
 
--- a/pipitledge/runtime/call_threads.py
+++ b/pipitledge/runtime/call_threads.py
@@ -27,7 +27,7 @@
     threads: int = 40
     per_address: int = 12
     per_suspect: int = 3  # at an address that was unreachable at the last call
-    all_suspects: int = 12  # at such addresses together
+    total_suspect: int = 12  # at such addresses together
     waiting: int = 256  # more than `per_address`, kept back for an address
 
 
@@ -36,10 +36,10 @@
 
     address: str
     perform: Callable[[], CallOutcome]
-    wanted: Callable[[], bool]
+    is_awaited: Callable[[], bool]
 
 
-class _Peer:
+class _PeerState:
     """What is under way at one address."""
 
     __slots__ = ("running", "suspect", "waiting")
@@ -50,7 +50,7 @@
         self.waiting: deque[PendingCall] = deque()
 
 
-class CallThreads:
+class CallThreadPool:
     """Runs calls in the order of their arrival at each address, on daemon threads started as needed."""
 
     def __init__(self, name: str, limits: CallLimits) -> None:
@@ -59,7 +59,7 @@
         self._limits = limits
         self._changed = threading.Condition(threading.Lock())
         self._ready: deque[PendingCall] = deque()
-        self._peers: dict[str, _Peer] = {}
+        self._peers: dict[str, _PeerState] = {}
         self._threads = 0
         self._idle = 0
         self._suspect_running = 0
@@ -68,9 +68,9 @@
     def submit(self, call: PendingCall) -> bool:
         """Have the call made; False if its address has too many under way, and it never will be."""
         with self._changed:
-            peer = self._peers.setdefault(call.address, _Peer())
+            peer = self._peers.setdefault(call.address, _PeerState())
             if self._may_run(peer):
-                self._make_ready(peer, call)
+                self._dispatch(peer, call)
                 return True
             if peer.suspect or len(peer.waiting) >= self._limits.waiting:
                 return False
@@ -82,7 +82,7 @@
         with self._changed:
             return sum(peer.running for peer in self._peers.values())
 
-    def suspects(self, address: str) -> bool:
+    def is_suspect(self, address: str) -> bool:
         """Whether `address` was unreachable at the last call."""
         with self._changed:
             peer = self._peers.get(address)
@@ -94,13 +94,13 @@
             self._closed = True
             self._changed.notify_all()
 
-    def _may_run(self, peer: _Peer) -> bool:
+    def _may_run(self, peer: _PeerState) -> bool:
         """Whether one more call may be under way at that address."""
         if not peer.suspect:
             return peer.running < self._limits.per_address
-        return peer.running < self._limits.per_suspect and self._suspect_running < self._limits.all_suspects
+        return peer.running < self._limits.per_suspect and self._suspect_running < self._limits.total_suspect
 
-    def _make_ready(self, peer: _Peer, call: PendingCall) -> None:
+    def _dispatch(self, peer: _PeerState, call: PendingCall) -> None:
         """Count the call as under way, and see to it that a thread takes it."""
         peer.running += 1
         self._suspect_running += peer.suspect
@@ -109,20 +109,20 @@
             self._changed.notify()
         elif self._threads < self._limits.threads:
             self._threads += 1
-            thread = threading.Thread(target=self._work, name=f"{self._name}-{self._threads}", daemon=True)
+            thread = threading.Thread(target=self._run_calls, name=f"{self._name}-{self._threads}", daemon=True)
             starter.start(thread)  # callers hold the lock of all logic
 
-    def _work(self) -> None:
+    def _run_calls(self) -> None:
         """Make calls until none comes for a while."""
-        while (call := self._next()) is not None:
+        while (call := self._next_call()) is not None:
             outcome = CallOutcome.REACHED
             try:
-                if call.wanted():
+                if call.is_awaited():
                     outcome = call.perform()
             finally:
-                self._finished(call, outcome)
+                self._on_finished(call, outcome)
 
-    def _next(self) -> PendingCall | None:
+    def _next_call(self) -> PendingCall | None:
         """The next call; None if the thread should end."""
         with self._changed:
             self._idle += 1
@@ -135,19 +135,19 @@
             self._threads -= 1
             return None
 
-    def _finished(self, call: PendingCall, outcome: CallOutcome) -> None:
+    def _on_finished(self, call: PendingCall, outcome: CallOutcome) -> None:
         """Take the call off the counts, and let the next one at that address go."""
         with self._changed:
             peer = self._peers[call.address]
             peer.running -= 1
             self._suspect_running -= peer.suspect
-            self._judge(peer, outcome is CallOutcome.UNREACHABLE)
+            self._set_suspect(peer, outcome is CallOutcome.UNREACHABLE)
             while peer.waiting and self._may_run(peer):
-                self._make_ready(peer, peer.waiting.popleft())
+                self._dispatch(peer, peer.waiting.popleft())
             if not peer.running and not peer.waiting and not peer.suspect:
                 del self._peers[call.address]
 
-    def _judge(self, peer: _Peer, suspect: bool) -> None:
+    def _set_suspect(self, peer: _PeerState, suspect: bool) -> None:
         """Note whether the peer is suspected of being unreachable."""
         if suspect == peer.suspect:
             return
--- a/pipitledge/runtime/datagrams.py
+++ b/pipitledge/runtime/datagrams.py
@@ -9,20 +9,20 @@
 
 from msgspec import Struct
 
-from pipitledge.runtime.host import Host
+from pipitledge.runtime.executor import SerialExecutor
 from pipitledge.runtime.logs import EventLog
 from pipitledge.wire import codec
 
-LONGEST_DATAGRAM = 65_507  # bytes of payload that UDP over IPv4 carries
+MAX_DATAGRAM_BYTES = 65_507  # bytes of payload that UDP over IPv4 carries
 
 
-class Datagrams:
+class DatagramSocket:
     """Sends and receives messages; what is malformed is dropped and counted."""
 
-    def __init__(self, host: Host, take: Callable[[Struct], None], log: EventLog) -> None:
+    def __init__(self, executor: SerialExecutor, on_message: Callable[[Struct], None], log: EventLog) -> None:
         """Hand what arrives to `take`, under the host's lock."""
-        self._host = host
-        self._take = take
+        self._executor = executor
+        self._on_message = on_message
         self._log = log
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._thread = threading.Thread(target=self._receive, name="datagrams", daemon=True)
@@ -56,7 +56,7 @@
 
     def _receive(self) -> None:
         """Take datagrams until stopped."""
-        buffer = bytearray(LONGEST_DATAGRAM)
+        buffer = bytearray(MAX_DATAGRAM_BYTES)
         view = memoryview(buffer)
         while not self._stopped:
             try:
@@ -64,9 +64,9 @@
             except OSError:
                 continue
             if not self._stopped:
-                self._take_bytes(bytes(view[:length]), sender[0])
+                self._handle_datagram(bytes(view[:length]), sender[0])
 
-    def _take_bytes(self, data: bytes, sender: str) -> None:
+    def _handle_datagram(self, data: bytes, sender: str) -> None:
         """Decode one datagram and hand it over."""
         try:
             message = codec.decode(data)
@@ -74,7 +74,7 @@
             self.malformed += 1
             self._log.warning("malformed_datagram", peer=sender, reason=error)
             return
-        self._host.run(lambda: self._take(message), type(message).__name__, sender)
+        self._executor.run(lambda: self._on_message(message), type(message).__name__, sender)
 
 
 @functools.lru_cache(maxsize=1024)
--- a/pipitledge/runtime/disk_writer.py
+++ b/pipitledge/runtime/disk_writer.py
@@ -16,14 +16,14 @@
 
 from pipitledge.runtime import logs
 from pipitledge.runtime.log_file import ENTRY_HEADER_BYTES
-from pipitledge.runtime.storage import Recovered, Store, log_limit
+from pipitledge.runtime.storage import RecoveredData, Store, log_limit
 
-FIRST_PAUSE_SECONDS = 0.05
-LONGEST_PAUSE_SECONDS = 0.5
-REFUSED_AFTER_SECONDS = 5.0
+INITIAL_BACKOFF_SECONDS = 0.05
+MAX_BACKOFF_SECONDS = 0.5
+REPORT_FAILURE_AFTER_SECONDS = 5.0
 
-Deliver = Callable[[Callable[[], None]], None]
-Durable = Callable[[], None]
+DeliverCallback = Callable[[Callable[[], None]], None]
+DurableCallback = Callable[[], None]
 
 
 class DiskProblem(Struct, frozen=True):
@@ -33,22 +33,22 @@
     reason: str
 
 
-class _Step(enum.Enum):
+class _OperationKind(enum.Enum):
     EPOCHS = "write_epochs"
     APPEND = "append"
     REPLACE = "replace"
 
 
 class _Operation(Struct, frozen=True):
-    step: _Step
+    step: _OperationKind
     data: bytes
-    on_durable: Durable
+    on_durable: DurableCallback
 
 
-class _Group(Struct, frozen=True):
+class _Batch(Struct, frozen=True):
     """Operations carried out as one; all but appends stand alone."""
 
-    step: _Step
+    step: _OperationKind
     operations: list[_Operation]
 
 
@@ -58,7 +58,7 @@
     def __init__(
         self,
         store: Store,
-        deliver: Deliver,
+        deliver: DeliverCallback,
         on_refused: Callable[[DiskProblem], None],
         disk_mb: int = 0,
         pause: Callable[[float], None] = time.sleep,
@@ -94,19 +94,19 @@
         if self._thread.is_alive():
             self._thread.join(timeout)
 
-    def write_epochs(self, record: bytes, on_durable: Durable) -> None:
+    def write_epochs(self, record: bytes, on_durable: DurableCallback) -> None:
         """Replace the small record of promises."""
-        self._put(_Operation(_Step.EPOCHS, record, on_durable))
+        self._enqueue(_Operation(_OperationKind.EPOCHS, record, on_durable))
 
-    def append(self, record: bytes, on_durable: Durable) -> None:
+    def append(self, record: bytes, on_durable: DurableCallback) -> None:
         """Add one entry to the log."""
         self._log_bytes += ENTRY_HEADER_BYTES + len(record)
-        self._put(_Operation(_Step.APPEND, record, on_durable))
+        self._enqueue(_Operation(_OperationKind.APPEND, record, on_durable))
 
-    def replace(self, snapshot: bytes, on_durable: Durable) -> None:
+    def replace(self, snapshot: bytes, on_durable: DurableCallback) -> None:
         """Replace all state and empty the log, atomically."""
         self._log_bytes = 0
-        self._put(_Operation(_Step.REPLACE, snapshot, on_durable))
+        self._enqueue(_Operation(_OperationKind.REPLACE, snapshot, on_durable))
 
     def wants_snapshot(self) -> bool:
         """Whether the log, with what is queued for it, has grown beyond its limit."""
@@ -114,18 +114,18 @@
 
     def drain(self) -> None:
         """Write all that is queued, on the calling thread."""
-        for group in _grouped(self._take()):
-            self._write_until_durable(group)
-            for operation in group.operations:
+        for batch in _batches(self._take_queued()):
+            self._write_until_durable(batch)
+            for operation in batch.operations:
                 self._deliver(operation.on_durable)
 
-    def _put(self, operation: _Operation) -> None:
+    def _enqueue(self, operation: _Operation) -> None:
         with self._changed:
             self._queue.append(operation)
             if len(self._queue) == 1:
                 self._changed.notify()
 
-    def _take(self) -> list[_Operation]:
+    def _take_queued(self) -> list[_Operation]:
         with self._changed:
             taken = self._queue
             self._queue = []
@@ -142,55 +142,55 @@
                 self._changed.wait()
             return bool(self._queue)
 
-    def _write_until_durable(self, group: _Group) -> None:
-        pause = FIRST_PAUSE_SECONDS
+    def _write_until_durable(self, batch: _Batch) -> None:
+        pause = INITIAL_BACKOFF_SECONDS
         refused_since: float | None = None
         reported = False
-        while (problem := self._try(group)) is not None:
+        while (problem := self._try_write(batch)) is not None:
             if refused_since is None:
                 refused_since = self._now()
                 self._log.error("disk_refuses", step=problem.step, reason=problem.reason)
-            if not reported and self._now() - refused_since >= REFUSED_AFTER_SECONDS:
+            if not reported and self._now() - refused_since >= REPORT_FAILURE_AFTER_SECONDS:
                 reported = True
-                self._deliver(_Refusal(self._on_refused, problem))
+                self._deliver(_FailureReport(self._on_refused, problem))
             self._pause(pause)
-            pause = min(2 * pause, LONGEST_PAUSE_SECONDS)
+            pause = min(2 * pause, MAX_BACKOFF_SECONDS)
         if refused_since is not None:
-            self._log.info("disk_accepts", step=group.step.value, seconds=self._now() - refused_since)
+            self._log.info("disk_accepts", step=batch.step.value, seconds=self._now() - refused_since)
 
-    def _try(self, group: _Group) -> DiskProblem | None:
+    def _try_write(self, batch: _Batch) -> DiskProblem | None:
         """Carry the group out; why not, if the disk refuses."""
         try:
-            self._carry_out(group)
+            self._write(batch)
         except OSError as error:
-            return DiskProblem(group.step.value, str(error))
+            return DiskProblem(batch.step.value, str(error))
         return None
 
-    def _carry_out(self, group: _Group) -> None:
-        if group.step is _Step.APPEND:
-            self._store.append([operation.data for operation in group.operations])
-        elif group.step is _Step.REPLACE:
-            self._store.replace(group.operations[0].data)
+    def _write(self, batch: _Batch) -> None:
+        if batch.step is _OperationKind.APPEND:
+            self._store.append([operation.data for operation in batch.operations])
+        elif batch.step is _OperationKind.REPLACE:
+            self._store.replace(batch.operations[0].data)
         else:
-            self._store.write_epochs(group.operations[0].data)
+            self._store.write_epochs(batch.operations[0].data)
 
 
 class MemoryDisk:
     """Stands in for the disk of a counted node that has none: everything is lost with the process."""
 
-    def __init__(self, deliver: Deliver) -> None:
+    def __init__(self, deliver: DeliverCallback) -> None:
         """Hand all callbacks to `deliver`."""
         self._deliver = deliver
 
-    def write_epochs(self, record: bytes, on_durable: Durable) -> None:
+    def write_epochs(self, record: bytes, on_durable: DurableCallback) -> None:
         """Keep nothing."""
         self._deliver(on_durable)
 
-    def append(self, record: bytes, on_durable: Durable) -> None:
+    def append(self, record: bytes, on_durable: DurableCallback) -> None:
         """Keep nothing."""
         self._deliver(on_durable)
 
-    def replace(self, snapshot: bytes, on_durable: Durable) -> None:
+    def replace(self, snapshot: bytes, on_durable: DurableCallback) -> None:
         """Keep nothing."""
         self._deliver(on_durable)
 
@@ -201,10 +201,10 @@
 
 def open_store(
     store: Store,
-    patience: float,
+    timeout: float,
     pause: Callable[[float], None] = time.sleep,
     now: Callable[[], float] = time.monotonic,
-) -> Recovered | DiskProblem:
+) -> RecoveredData | DiskProblem:
     """Open a store whose disk may refuse for a while; a problem after `patience` seconds of that."""
     started = now()
     reported = False
@@ -216,12 +216,12 @@
         if not reported:
             logs.get("disk").error("disk_refuses", step=problem.step, reason=problem.reason)
             reported = True
-        if now() - started >= patience:
+        if now() - started >= timeout:
             return problem
-        pause(LONGEST_PAUSE_SECONDS)
+        pause(MAX_BACKOFF_SECONDS)
 
 
-class _Refusal:
+class _FailureReport:
     """Tells of a disk that refuses."""
 
     def __init__(self, on_refused: Callable[[DiskProblem], None], problem: DiskProblem) -> None:
@@ -232,12 +232,12 @@
         self._on_refused(self._problem)
 
 
-def _grouped(operations: list[_Operation]) -> list[_Group]:
+def _batches(operations: list[_Operation]) -> list[_Batch]:
     """The operations in their order, appends that follow each other together."""
-    groups: list[_Group] = []
+    batches: list[_Batch] = []
     for operation in operations:
-        if groups and operation.step is _Step.APPEND and groups[-1].step is _Step.APPEND:
-            groups[-1].operations.append(operation)
+        if batches and operation.step is _OperationKind.APPEND and batches[-1].step is _OperationKind.APPEND:
+            batches[-1].operations.append(operation)
         else:
-            groups.append(_Group(operation.step, [operation]))
-    return groups
+            batches.append(_Batch(operation.step, [operation]))
+    return batches
--- a/pipitledge/runtime/host.py
+++ b/pipitledge/runtime/executor.py
@@ -13,7 +13,7 @@
 Action = Callable[[], None]
 
 
-class Host:
+class SerialExecutor:
     """Runs all calls into logic one at a time; implements the port `Clock`.
 
     An exception that leaves a piece of logic is logged with its step and counted; the process goes on.
@@ -22,7 +22,7 @@
     def __init__(self, log: EventLog, now: Callable[[], float] = time.monotonic) -> None:
         """Take steady time from `now`, in seconds."""
         self._log = log
-        self._steady = now
+        self._monotonic = now
         self._lock = threading.RLock()
         self._timers = TimerQueue(now)
         self._thread = threading.Thread(target=self._serve_timers, name="timers", daemon=True)
@@ -40,7 +40,7 @@
 
     def now(self) -> float:
         """Steady time, seconds."""
-        return self._steady()
+        return self._monotonic()
 
     def wall_ms(self) -> int:
         """Time of day, milliseconds since 1970; may jump."""
@@ -60,7 +60,7 @@
             try:
                 action()
             except Exception as error:
-                self._note_failure(error, step, peer)
+                self._record_failure(error, step, peer)
                 return False
         return True
 
@@ -78,7 +78,7 @@
         while (timer := self._timers.wait_due()) is not None:
             self.run(timer.fire, "timer")
 
-    def _note_failure(self, error: Exception, step: str, peer: str) -> None:
+    def _record_failure(self, error: Exception, step: str, peer: str) -> None:
         """Count and log what left a callback."""
         self.failures += 1
         trace = "".join(traceback.format_exception(error)[-4:])
--- a/pipitledge/runtime/answers.py
+++ b/pipitledge/runtime/future.py
@@ -8,25 +8,25 @@
 T = TypeVar("T")
 
 
-class Answer(Generic[T]):
+class Future(Generic[T]):
     """Holds the first answer that is given; later ones are dropped."""
 
-    __slots__ = ("_given", "_value")
+    __slots__ = ("_done", "_value")
 
     def __init__(self) -> None:
         """Hold nothing yet."""
-        self._given = threading.Lock()
-        self._given.acquire()
+        self._done = threading.Lock()
+        self._done.acquire()
         self._value: T | None = None
 
-    def give(self, value: T) -> None:
+    def set_result(self, value: T) -> None:
         """Give the answer; one call at a time (under the host's lock)."""
         if self._value is None:
             self._value = value
-            self._given.release()
+            self._done.release()
 
     def wait(self, timeout: float) -> T | None:
         """The answer, or None after `timeout` seconds without one."""
-        if self._given.acquire(timeout=timeout):
-            self._given.release()
+        if self._done.acquire(timeout=timeout):
+            self._done.release()
         return self._value
--- a/pipitledge/runtime/http_calls.py
+++ b/pipitledge/runtime/http_client.py
@@ -12,14 +12,14 @@
 from urllib3.connectionpool import HTTPConnectionPool
 from urllib3.util import SKIP_HEADER
 
-from pipitledge.runtime.call_threads import CallLimits, CallOutcome, CallThreads, PendingCall
-from pipitledge.runtime.host import Host
+from pipitledge.runtime.call_threads import CallLimits, CallOutcome, CallThreadPool, PendingCall
+from pipitledge.runtime.executor import SerialExecutor
 from pipitledge.runtime.message_body import ACCEPT_ENCODING, DEFLATE
 from pipitledge.runtime.timers import ScheduledAction
 
 CONNECT_SECONDS = 0.5
 USER_TIMEOUT_MS = 1500  # bytes unacknowledged for so long end a connection
-MOST_ADDRESSES = 512  # with kept connections
+MAX_POOLED_ADDRESSES = 512  # with kept connections
 CALL_ID_HEADER = "X-Call-Id"
 OK = 200
 PLAIN_HEADERS = {"User-Agent": SKIP_HEADER, "Accept-Encoding": SKIP_HEADER}
@@ -34,7 +34,7 @@
 
     status: int = 0
     body: bytes = b""
-    takes_deflated: bool = False  # the peer says that it understands deflated requests
+    accepts_deflate: bool = False  # the peer says that it understands deflated requests
     refused: bool = False  # nothing listens at the address: no connection was made
     reason: str = ""  # why there is no answer
 
@@ -56,18 +56,18 @@
 BUSY = CallResult(reason="too many calls under way")
 
 
-class _Attempt:
+class _CallInFlight:
     """A call with the one who waits for its outcome."""
 
-    __slots__ = ("_host", "_on_result", "_timer", "call")
+    __slots__ = ("_executor", "_on_result", "_timer", "call")
 
-    def __init__(self, host: Host, call: OutgoingCall, on_result: OnResult) -> None:
-        self._host = host
+    def __init__(self, executor: SerialExecutor, call: OutgoingCall, on_result: OnResult) -> None:
+        self._executor = executor
         self._on_result: OnResult | None = on_result
         self.call = call
-        self._timer: ScheduledAction = host.at(host.now() + call.timeout, lambda: self.finish(TIMED_OUT))
+        self._timer: ScheduledAction = executor.at(executor.now() + call.timeout, lambda: self.finish(TIMED_OUT))
 
-    def wanted(self) -> bool:
+    def is_awaited(self) -> bool:
         """Whether the outcome is still open."""
         return self._on_result is not None
 
@@ -79,24 +79,24 @@
             on_result(result)
 
 
-class HttpCalls:
+class HttpClient:
     """Makes calls on threads of its own."""
 
-    def __init__(self, host: Host, name: str, limits: CallLimits | None = None) -> None:
+    def __init__(self, executor: SerialExecutor, name: str, limits: CallLimits | None = None) -> None:
         """Tell outcomes through `host`."""
-        self._host = host
+        self._executor = executor
         self._name = name
         self._limits = limits or CallLimits()
-        self._threads = CallThreads(name, self._limits)
+        self._threads = CallThreadPool(name, self._limits)
         self._pools: OrderedDict[str, HTTPConnectionPool] = OrderedDict()
         self._pools_lock = Lock()
 
     def post(self, call: OutgoingCall, on_result: OnResult) -> None:
         """Make the call; `on_result` is told once, later, under the host's lock."""
-        attempt = _Attempt(self._host, call, on_result)
-        pending = PendingCall(call.address, lambda: self._perform(attempt), attempt.wanted)
+        in_flight = _CallInFlight(self._executor, call, on_result)
+        pending = PendingCall(call.address, lambda: self._perform(in_flight), in_flight.is_awaited)
         if not self._threads.submit(pending):
-            self._host.at(self._host.now(), lambda: attempt.finish(BUSY))
+            self._executor.at(self._executor.now(), lambda: in_flight.finish(BUSY))
 
     def close(self) -> None:
         """Close kept connections."""
@@ -106,9 +106,9 @@
                 pool.close()
             self._pools.clear()
 
-    def _perform(self, attempt: _Attempt) -> CallOutcome:
+    def _perform(self, in_flight: _CallInFlight) -> CallOutcome:
         """Make the call on this thread, and tell its outcome."""
-        call = attempt.call
+        call = in_flight.call
         outcome = CallOutcome.REACHED
         try:
             result = self._request(call)
@@ -119,17 +119,17 @@
             result = CallResult(reason=str(error))
         except Exception as error:
             result = CallResult(reason=repr(error))
-        self._host.run(lambda: attempt.finish(result), f"reply to {call.path}", call.address)
+        self._executor.run(lambda: in_flight.finish(result), f"reply to {call.path}", call.address)
         return outcome
 
     def _request(self, call: OutgoingCall) -> CallResult:
         """Send the call and read the answer whole."""
-        named = {CALL_ID_HEADER: call.call_id} if call.call_id else {}
+        id_headers = {CALL_ID_HEADER: call.call_id} if call.call_id else {}
         response = self._pool(call.address).urlopen(
             "POST",
             call.path,
             body=call.body,
-            headers={**PLAIN_HEADERS, **call.headers, **named},
+            headers={**PLAIN_HEADERS, **call.headers, **id_headers},
             retries=False,
             redirect=False,
             assert_same_host=False,
@@ -137,12 +137,12 @@
         )
         answered = response.headers.get(CALL_ID_HEADER, "")
         if call.call_id and answered not in ("", call.call_id):
-            self._forget_pool(call.address)  # what its connections carry can't be trusted any more
+            self._discard_pool(call.address)  # what its connections carry can't be trusted any more
             return CallResult(reason=f"answer to another call, {answered}")
         if call.call_id and not answered and response.status == OK:
             return CallResult(reason="answer that names no call")
-        takes_deflated = response.headers.get(ACCEPT_ENCODING, "") == DEFLATE
-        return CallResult(response.status, response.data, takes_deflated)
+        accepts_deflate = response.headers.get(ACCEPT_ENCODING, "") == DEFLATE
+        return CallResult(response.status, response.data, accepts_deflate)
 
     def _pool(self, address: str) -> HTTPConnectionPool:
         """The kept connections to that address."""
@@ -151,11 +151,11 @@
             if pool is None:
                 pool = self._pools[address] = self._new_pool(address)
             self._pools.move_to_end(address)
-            if len(self._pools) > MOST_ADDRESSES:
+            if len(self._pools) > MAX_POOLED_ADDRESSES:
                 self._pools.popitem(last=False)[1].close()
         return pool
 
-    def _forget_pool(self, address: str) -> None:
+    def _discard_pool(self, address: str) -> None:
         """Close the kept connections to that address; the next call makes others."""
         with self._pools_lock:
             pool = self._pools.pop(address, None)
--- a/pipitledge/runtime/http_connections.py
+++ b/pipitledge/runtime/http_connections.py
@@ -21,12 +21,12 @@
     from pipitledge.runtime.http_server import CherootServer
 
 ACCEPT_PAUSE_SECONDS = 0.05  # after a failure to accept, such as too many descriptors
-RETIRING_LOOK_SECONDS = 0.02  # between looks whether the last call has ended
+RETIRE_POLL_SECONDS = 0.02  # between looks whether the last call has ended
 WAKE = "wake"  # what the selector tells of the pipe that wakes the watching thread
 WAKE_BYTES = 64
 
 
-class CallsUnderWay:
+class InFlightCalls:
     """Counts connections on which a request has begun and not been answered yet.
 
     A connection may count twice for a moment: its next request may have begun before the thread of the last one has
@@ -53,7 +53,7 @@
             self._count -= 1
 
 
-class WatchedConnections(connections.ConnectionManager):
+class IdleConnectionManager(connections.ConnectionManager):
     """Watches the listening socket and all idle connections."""
 
     server: CherootServer
@@ -62,7 +62,7 @@
     def __init__(self, owner: CherootServer) -> None:
         """Watch for `owner`, which listens already."""
         super().__init__(owner)
-        self.under_way = CallsUnderWay()
+        self.in_flight = InFlightCalls()
         self.finished = threading.Event()  # retired, and the last call has been answered
         self._retiring = False
         self._listening = True
@@ -83,8 +83,8 @@
         if conn.rfile.has_data():
             self.server.process_conn(conn)
             return
-        self._watch(conn)
-        self.under_way.end()
+        self._add_idle(conn)
+        self.in_flight.end()
 
     def retire(self) -> None:
         """Accept what waits and no more; answer what comes; finish at the first moment without a call."""
@@ -107,7 +107,7 @@
         with contextlib.suppress(BlockingIOError):  # then it is woken already
             os.write(self._wake_write, b"w")
 
-    def _watch(self, conn: Any) -> None:
+    def _add_idle(self, conn: Any) -> None:
         conn.last_used = time.monotonic()
         self._selector.register(conn.socket.fileno(), selectors.EVENT_READ, data=conn)
 
@@ -117,7 +117,7 @@
         """Serve events until stopped, or until finished after `retire`."""
         expire_at = time.monotonic() + expiration_interval
         while not self._stop_requested:
-            self._serve_ready(RETIRING_LOOK_SECONDS if self._retiring else expiration_interval)
+            self._serve_ready(RETIRE_POLL_SECONDS if self._retiring else expiration_interval)
             if self._retiring and self._retired():
                 return
             if time.monotonic() >= expire_at:
@@ -134,7 +134,7 @@
                 os.read(self._wake_read, WAKE_BYTES)
             else:
                 # Under way before it is off the watch, so that it is counted at every moment.
-                self.under_way.begin()
+                self.in_flight.begin()
                 self._selector.unregister(descriptor)
                 self.server.process_conn(what)
         return len(ready)
@@ -143,7 +143,7 @@
         """Whether the last call has ended, with nothing more to read on any connection."""
         if self._listening:
             self._stop_listening()
-        if len(self.under_way) or self._serve_ready(0):
+        if len(self.in_flight) or self._serve_ready(0):
             return False
         self._close_idle()
         self.finished.set()
@@ -173,7 +173,7 @@
         if self._num_connections >= self.server.options.connections:
             accepted.close_idle()
         else:
-            self._watch(accepted)
+            self._add_idle(accepted)
         return True
 
     def _close_idle(self) -> None:
@@ -208,7 +208,7 @@
         try:
             super().close()
         finally:
-            self.server.calls_under_way.end()
+            self.server.in_flight_calls.end()
 
     def close_idle(self) -> None:
         """Close it while no call is under way on it."""
--- a/pipitledge/runtime/http_gateway.py
+++ b/pipitledge/runtime/http_gateway.py
@@ -12,12 +12,14 @@
 if TYPE_CHECKING:
     from pipitledge.runtime.http_server import CherootServer
 
-DISCARD_BYTES = 8 * 1024 * 1024  # of a body over the limit that are read so that the caller sees the answer
+MAX_DISCARD_BYTES = 8 * 1024 * 1024  # of a body over the limit that are read so that the caller sees the answer
 DISCARD_CHUNK = 64 * 1024
 TOO_LARGE = HttpResponse(413, b'{"reason":"body too large"}', {"Connection": "close"})
 BAD_BODY = HttpResponse(400, b'{"reason":"malformed body"}', {"Connection": "close"})
 FAILED = HttpResponse(500, b'{"reason":"internal error"}')
-ENDING = HttpResponse(503, b'{"reason":"this process is about to end"}', {"Connection": "close", "Retry-After": "1"})
+SHUTTING_DOWN = HttpResponse(
+    503, b'{"reason":"this process is about to end"}', {"Connection": "close", "Retry-After": "1"}
+)
 
 
 class Gateway(server.Gateway):
@@ -37,7 +39,7 @@
         """Have the request answered."""
         owner: CherootServer = self.req.server
         if owner.refusing:
-            return ENDING
+            return SHUTTING_DOWN
         try:
             return owner.exchange(self._request(body))
         except Exception as error:
@@ -95,7 +97,7 @@
 
     def _discard(self, length: int) -> None:
         """Read a body over the limit, lest closing with unread bytes resets the connection before the answer."""
-        left = min(length, DISCARD_BYTES)
+        left = min(length, MAX_DISCARD_BYTES)
         while left > 0:
             chunk = self.req.conn.rfile.read(min(left, DISCARD_CHUNK))
             if not chunk:
--- a/pipitledge/runtime/http_server.py
+++ b/pipitledge/runtime/http_server.py
@@ -15,7 +15,7 @@
 from cheroot import server
 from msgspec import Struct
 
-from pipitledge.runtime.http_connections import CallsUnderWay, Connection, WatchedConnections
+from pipitledge.runtime.http_connections import Connection, IdleConnectionManager, InFlightCalls
 from pipitledge.runtime.http_gateway import Gateway
 from pipitledge.runtime.http_threads import RequestThreads
 from pipitledge.runtime.http_types import HttpRequest, HttpResponse
@@ -24,8 +24,8 @@
 Exchange = Callable[[HttpRequest], HttpResponse]  # runs on a thread of the server and may block
 
 BACKLOG = 512  # connections that wait to be accepted
-HEADER_BYTES = 32 * 1024
-EXPIRY_SECONDS = 5.0  # between looks for idle connections
+MAX_HEADER_BYTES = 32 * 1024
+IDLE_CHECK_SECONDS = 5.0  # between looks for idle connections
 
 
 class ServerOptions(Struct, frozen=True):
@@ -33,7 +33,7 @@
 
     name: str
     threads: int = 2  # at the start
-    most_threads: int = 32
+    max_threads: int = 32
     body_limit: int = 256 * 1024  # bytes
     read_seconds: float = 5.0  # longest silence in the midst of a request
     idle_seconds: float = 15.0  # longest silence between requests
@@ -102,7 +102,7 @@
 class CherootServer(server.HTTPServer):
     """Cheroot's server with the changes that the module tells of."""
 
-    _connections: WatchedConnections
+    _connections: IdleConnectionManager
 
     def __init__(self, address: tuple[str, int], exchange: Exchange, options: ServerOptions, log: EventLog) -> None:
         """Prepare; nothing is bound before `prepare`."""
@@ -113,21 +113,21 @@
         self.body_limit = options.body_limit
         self.draining = False  # each connection ends with its next answer
         self.refusing = False  # each request is answered by 503
-        self.requests = RequestThreads(self, options.threads, options.most_threads)
+        self.requests = RequestThreads(self, options.threads, options.max_threads)
         self.ConnectionClass = Connection
         self.request_queue_size = BACKLOG
         self.timeout = options.read_seconds  # type: ignore[assignment]  # seconds, fractions included
-        self.expiration_interval = EXPIRY_SECONDS
+        self.expiration_interval = IDLE_CHECK_SECONDS
         self.keep_alive_conn_limit = options.connections
-        self.max_request_header_size = HEADER_BYTES
+        self.max_request_header_size = MAX_HEADER_BYTES
         self.shutdown_timeout = 1
 
     def prepare(self) -> None:
         """Bind, listen and start the first threads."""
         super().prepare()
-        cheroots_own: Any = self._connections
-        cheroots_own._selector.close()
-        self._connections = WatchedConnections(self)
+        cheroot_manager: Any = self._connections
+        cheroot_manager._selector.close()
+        self._connections = IdleConnectionManager(self)
 
     def serve(self) -> None:
         """Hand on connections until stopped."""
@@ -144,13 +144,13 @@
         self.requests.grow_if_short()
 
     @property
-    def calls_under_way(self) -> CallsUnderWay:
+    def in_flight_calls(self) -> InFlightCalls:
         """Connections on which a request has begun."""
-        return self._connections.under_way
+        return self._connections.in_flight
 
     def busy(self) -> int:
         """Connections with a thread, or waiting for one."""
-        return len(self.calls_under_way)
+        return len(self.in_flight_calls)
 
     def retire(self) -> None:
         """Refuse new connections, and finish once no call is under way any more."""
--- a/pipitledge/runtime/http_threads.py
+++ b/pipitledge/runtime/http_threads.py
@@ -21,9 +21,9 @@
 
     _threads: list[threadpool.WorkerThread]
 
-    def __init__(self, owner: CherootServer, threads: int, most: int) -> None:
+    def __init__(self, owner: CherootServer, threads: int, max_threads: int) -> None:
         """Begin with `threads`, and have `most` at last."""
-        super().__init__(owner, min=threads, max=most)
+        super().__init__(owner, min=threads, max=max_threads)
 
     def grow(self, amount: int) -> None:
         """Add threads, without waiting until they have begun."""
@@ -36,5 +36,5 @@
 
     def grow_if_short(self) -> None:
         """Have a thread added if there are more calls under way than threads."""
-        if len(self._threads) < len(self.server.calls_under_way):
+        if len(self._threads) < len(self.server.in_flight_calls):
             self.grow(1)
--- a/pipitledge/runtime/line_writer.py
+++ b/pipitledge/runtime/line_writer.py
@@ -14,8 +14,8 @@
 
 import picologging
 
-MOST_WAITING = 10_000  # lines; more are left out, and counted
-MOST_AT_ONCE = 200  # lines in one write
+MAX_QUEUED_LINES = 10_000  # lines; more are left out, and counted
+MAX_LINES_PER_WRITE = 200  # lines in one write
 STANDARD_OUTPUT = 1  # descriptor
 
 
@@ -47,19 +47,19 @@
 class LineWriter:
     """Takes lines from any thread without making it wait, and writes them on a thread of its own."""
 
-    def __init__(self, sink: LineSink, most_waiting: int = MOST_WAITING) -> None:
+    def __init__(self, sink: LineSink, max_queued: int = MAX_QUEUED_LINES) -> None:
         """Write to `sink`; beyond `most_waiting` lines that wait, new ones are left out."""
         self._sink = sink
-        self._most_waiting = most_waiting
+        self._max_queued = max_queued
         self._lines: queue.SimpleQueue[str | threading.Event] = queue.SimpleQueue()
         self._lock = threading.Lock()
         self._thread: threading.Thread | None = None
-        self._left_out = 0
+        self._dropped = 0
 
     def log(self, _level: int, line: str, /) -> None:
         """Have the line written, in its turn."""
-        if self._lines.qsize() >= self._most_waiting:
-            self._left_out += 1
+        if self._lines.qsize() >= self._max_queued:
+            self._dropped += 1
             return
         self._lines.put(line)
         if self._thread is None:
@@ -81,19 +81,19 @@
 
     def _serve(self) -> None:
         while True:
-            batch, flushed = self._take()
-            if self._left_out:
-                batch.append(f"lines_left_out={self._left_out}")
-                self._left_out = 0
+            batch, flushed = self._take_batch()
+            if self._dropped:
+                batch.append(f"lines_left_out={self._dropped}")
+                self._dropped = 0
             if batch:
                 self._write(batch)
             if flushed is not None:
                 flushed.set()
 
-    def _take(self) -> tuple[list[str], threading.Event | None]:
+    def _take_batch(self) -> tuple[list[str], threading.Event | None]:
         """The lines to write next, and who waits for them if somebody does."""
         batch: list[str] = []
-        while not batch or (len(batch) < MOST_AT_ONCE and not self._lines.empty()):
+        while not batch or (len(batch) < MAX_LINES_PER_WRITE and not self._lines.empty()):
             item = self._lines.get()
             if isinstance(item, threading.Event):
                 return batch, item
@@ -105,7 +105,7 @@
         try:
             self._sink.log(picologging.INFO, "\n".join(batch))
         except Exception:
-            self._left_out += len(batch)
+            self._dropped += len(batch)
 
 
 def standard_output() -> LineWriter:
--- a/pipitledge/runtime/logs.py
+++ b/pipitledge/runtime/logs.py
@@ -19,12 +19,12 @@
 FLUSH_SECONDS = 1.0  # at the end of the process, for a log that somebody may not read
 WINDOW_SECONDS = 10.0
 EVENTS_PER_WINDOW = 20
-LONGEST_VALUE = 400  # characters; what is longer is cut
+MAX_VALUE_CHARACTERS = 400  # characters; what is longer is cut
 
 _NEEDS_QUOTES = re.compile(r"[\s\"=]|^$")
 
 
-class _Repeats(Struct):
+class _EventWindow(Struct):
     """How often one event came in its window."""
 
     window_start: float
@@ -47,7 +47,7 @@
         self._name = name
         self._now = now
         self._wall = wall
-        self._repeats: dict[str, _Repeats] = {}
+        self._windows: dict[str, _EventWindow] = {}
 
     def info(self, event: str, **fields: object) -> None:
         """Write an ordinary event."""
@@ -62,30 +62,30 @@
         self._write(picologging.ERROR, "ERROR", event, fields)
 
     def _write(self, level: int, word: str, event: str, fields: dict[str, object]) -> None:
-        repeats = self._take(event)
-        if repeats is None:
+        window = self._admit(event)
+        if window is None:
             return
         parts = [str(int(self._wall() * 1000)), word, self._name, event]
-        parts += [f"{key}={_text(value)}" for key, value in fields.items() if value is not None]
-        if repeats.suppressed:
-            parts.append(f"suppressed={repeats.suppressed}")
-            repeats.suppressed = 0
+        parts += [f"{key}={_format_value(value)}" for key, value in fields.items() if value is not None]
+        if window.suppressed:
+            parts.append(f"suppressed={window.suppressed}")
+            window.suppressed = 0
         self._sink.log(level, " ".join(parts))
 
-    def _take(self, event: str) -> _Repeats | None:
+    def _admit(self, event: str) -> _EventWindow | None:
         """Count the event; None if it is one too many."""
         now = self._now()
-        repeats = self._repeats.get(event)
-        if repeats is None:
-            repeats = self._repeats[event] = _Repeats(now)
-        elif now - repeats.window_start >= WINDOW_SECONDS:
-            repeats.window_start = now
-            repeats.written = 0
-        if repeats.written >= EVENTS_PER_WINDOW:
-            repeats.suppressed += 1
+        window = self._windows.get(event)
+        if window is None:
+            window = self._windows[event] = _EventWindow(now)
+        elif now - window.window_start >= WINDOW_SECONDS:
+            window.window_start = now
+            window.written = 0
+        if window.written >= EVENTS_PER_WINDOW:
+            window.suppressed += 1
             return None
-        repeats.written += 1
-        return repeats
+        window.written += 1
+        return window
 
 
 def get(name: str) -> EventLog:
@@ -96,11 +96,11 @@
     return log
 
 
-def _text(value: object) -> str:
+def _format_value(value: object) -> str:
     """The value on one line, quoted where it holds spaces."""
     if isinstance(value, float):
         return f"{value:.6g}"
-    text = str(value)[:LONGEST_VALUE]
+    text = str(value)[:MAX_VALUE_CHARACTERS]
     if _NEEDS_QUOTES.search(text):
         return '"' + text.replace("\\", "\\\\").replace('"', "'").replace("\n", "\\n").replace("\r", "\\r") + '"'
     return text
--- a/pipitledge/runtime/message_body.py
+++ b/pipitledge/runtime/message_body.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-PACK_FROM_BYTES = 4 * 1024  # shorter ones pass any link at once
+MIN_COMPRESS_BYTES = 4 * 1024  # shorter ones pass any link at once
 COMPRESSION_LEVEL = 1  # a millisecond for 300 kB
 CONTENT_ENCODING = "Content-Encoding"
 ACCEPT_ENCODING = "Accept-Encoding"
@@ -15,37 +15,37 @@
 ACCEPTS_DEFLATE: Mapping[str, str] = {ACCEPT_ENCODING: DEFLATE}
 
 
-class PackingError(ValueError):
+class EncodingError(ValueError):
     """A body that can't be unpacked."""
 
 
-class PackedBody(Struct, frozen=True):
+class EncodedBody(Struct, frozen=True):
     """A body as it is sent."""
 
     data: bytes
     headers: Mapping[str, str]  # that tell how to unpack it
 
 
-def pack(body: bytes, allowed: bool = True) -> PackedBody:
+def compress(body: bytes, allowed: bool = True) -> EncodedBody:
     """Deflate a body if it is long, gets shorter by that, and whoever it is for understands it."""
-    if allowed and len(body) >= PACK_FROM_BYTES:
+    if allowed and len(body) >= MIN_COMPRESS_BYTES:
         deflated = zlib.compress(body, COMPRESSION_LEVEL)
         if len(deflated) < len(body):
-            return PackedBody(deflated, {CONTENT_ENCODING: DEFLATE})
-    return PackedBody(body, {})
+            return EncodedBody(deflated, {CONTENT_ENCODING: DEFLATE})
+    return EncodedBody(body, {})
 
 
-def unpack(data: bytes, encoding: str, largest: int) -> bytes:
+def decompress(data: bytes, encoding: str, max_bytes: int) -> bytes:
     """The body that `Content-Encoding` says is packed so; raises `PackingError` for one that is broken or too large."""
     if not encoding:
         return data
     if encoding.lower() != DEFLATE:
-        raise PackingError(f"Content-Encoding: {encoding} is not known")
-    unpacker = zlib.decompressobj()
+        raise EncodingError(f"Content-Encoding: {encoding} is not known")
+    decompressor = zlib.decompressobj()
     try:
-        body = unpacker.decompress(data, largest)
+        body = decompressor.decompress(data, max_bytes)
     except zlib.error as error:
-        raise PackingError(str(error)) from error
-    if not unpacker.eof:
-        raise PackingError(f"cut short, or above {largest} bytes")
+        raise EncodingError(str(error)) from error
+    if not decompressor.eof:
+        raise EncodingError(f"cut short, or above {max_bytes} bytes")
     return body
--- a/pipitledge/runtime/ports.py
+++ b/pipitledge/runtime/ports.py
@@ -69,7 +69,7 @@
         """Whether the log has grown so long that `replace` should be called."""
 
 
-class WorkerAnswer(Struct):
+class WorkerResponse(Struct):
     """A worker's answer to an agent's call; `status` 0: there was none (the order may still be carried out)."""
 
     status: int = 0
@@ -77,10 +77,10 @@
     refused: bool = False  # nothing listens at the worker's address: no connection was made
 
 
-class WorkerCalls(Protocol):
+class WorkerClient(Protocol):
     """An agent's calls to the worker on its machine."""
 
     def post(
-        self, path: str, body: bytes, instance: str, timeout: float, on_answer: Callable[[WorkerAnswer], None]
+        self, path: str, body: bytes, instance: str, timeout: float, on_answer: Callable[[WorkerResponse], None]
     ) -> None:
         """POST JSON to the worker, meant for its life `instance` (empty: any)."""
--- a/pipitledge/runtime/process_signals.py
+++ b/pipitledge/runtime/process_signals.py
@@ -27,39 +27,39 @@
         self._on_reload = on_reload
         self._on_poll = on_poll
         self._signals: queue.SimpleQueue[tuple[int, float]] = queue.SimpleQueue()
-        self._wake = -1  # the pipe's end to read from
+        self._wake_read = -1  # the pipe's end to read from
 
     def install(self) -> None:
         """Take over SIGTERM, SIGINT and SIGHUP."""
-        self._wake, written = os.pipe()
-        os.set_blocking(self._wake, False)
-        os.set_blocking(written, False)
-        signal.set_wakeup_fd(written, warn_on_full_buffer=False)
+        self._wake_read, write_end = os.pipe()
+        os.set_blocking(self._wake_read, False)
+        os.set_blocking(write_end, False)
+        signal.set_wakeup_fd(write_end, warn_on_full_buffer=False)
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-            signal.signal(number, self._note)
+            signal.signal(number, self._on_signal)
 
     def run_until_terminated(self) -> float:
         """Serve signals; return, once the process should end, the steady time at which it was told so."""
         poller = select.poll()
-        poller.register(self._wake, select.POLLIN)
+        poller.register(self._wake_read, select.POLLIN)
         while True:
             if not poller.poll(POLL_SECONDS * MS_PER_SECOND):
                 self._on_poll()
                 continue
-            os.read(self._wake, WAKE_BYTES)
-            terminated_at = self._serve_noted()
+            os.read(self._wake_read, WAKE_BYTES)
+            terminated_at = self._handle_received()
             if terminated_at is not None:
                 return terminated_at
 
-    def _serve_noted(self) -> float | None:
+    def _handle_received(self) -> float | None:
         """Serve the signals that have come; when the process was told to end, if it was."""
         while not self._signals.empty():
-            number, noted_at = self._signals.get()
+            number, received_at = self._signals.get()
             if number != signal.SIGHUP:
-                return noted_at
+                return received_at
             self._on_reload()
         return None
 
-    def _note(self, number: int, _frame: FrameType | None) -> None:
+    def _on_signal(self, number: int, _frame: FrameType | None) -> None:
         """Pass the signal on to the main thread's loop."""
         self._signals.put((number, time.monotonic()))
--- a/pipitledge/runtime/settings.py
+++ b/pipitledge/runtime/settings.py
@@ -182,7 +182,7 @@
     return float(value)
 
 
-def _whole(value: Any) -> Any:
+def _integer(value: Any) -> Any:
     """Accept a whole number not below 0, perhaps written as `3.0`."""
     if not _is_number(value) or value != int(value):
         return t.DataError("value is not int")
@@ -191,17 +191,17 @@
     return int(value)
 
 
-def _figure(value: Any) -> Any:
+def _optional_number(value: Any) -> Any:
     """Accept a number, or true or false, which give no figure."""
     return None if isinstance(value, bool) else _number(value)
 
 
 def _port(value: Any) -> Any:
     """Accept the number of a port."""
-    whole = _whole(value)
-    if isinstance(whole, int) and not 0 < whole <= LAST_PORT:
+    port = _integer(value)
+    if isinstance(port, int) and not 0 < port <= LAST_PORT:
         return t.DataError("value is not a port")
-    return whole
+    return port
 
 
 def _address(value: Any) -> Any:
@@ -243,47 +243,47 @@
     """Check the bounds, whose keys are in either case."""
     keys: dict[t.Key, Any] = {}
     for field in Bounds.__struct_fields__:
-        keys[_key(field)] = _figure
-        keys[_key(_camel(field), field)] = _figure
+        keys[_key(field)] = _optional_number
+        keys[_key(_camel(field), field)] = _optional_number
     return t.Dict(keys, ignore_extra="*") & _without_none
 
 
-_TEXT = t.String()
-_TEXTS = t.List(_TEXT)
+_STRING = t.String()
+_STRINGS = t.List(_STRING)
 _BIND = _table({field: _address for field in BindAddresses.__struct_fields__})
-_TOLERANCE = _table({field: _whole for field in FaultTolerance.__struct_fields__})
+_TOLERANCE = _table({field: _integer for field in FaultTolerance.__struct_fields__})
 _LIMITS = _table(
     {
         "cpu_share": _number,
-        "cores": _whole,
-        "memory_mb": _whole,
-        "max_fds": _whole,
+        "cores": _integer,
+        "memory_mb": _integer,
+        "max_fds": _integer,
         "link_mbps": _number,
-        "disk_mb": _whole,
+        "disk_mb": _integer,
     }
 )
 _SETTINGS = t.Dict(
     {
-        _key("nodeName", "name", optional=False): _TEXT,
-        _key("role", optional=False): _TEXT,
-        _key("machineClass", "machine_class"): _TEXT,
-        _key("ip", optional=False): _TEXT,
+        _key("nodeName", "name", optional=False): _STRING,
+        _key("role", optional=False): _STRING,
+        _key("machineClass", "machine_class"): _STRING,
+        _key("ip", optional=False): _STRING,
         _key("internalPortRange", "internal_ports", optional=False): t.Tuple(_port, _port) & _ascending,
-        _key("serves"): _TEXTS,
-        _key("zone"): _TEXT,
-        _key("region"): _TEXT,
+        _key("serves"): _STRINGS,
+        _key("zone"): _STRING,
+        _key("region"): _STRING,
         _key("seeds"): t.List(_address),
         _key("bootstrap"): t.Bool(),
         _key("countsForQuorum", "counted"): t.Bool(),
-        _key("dataDir", "data_dir"): _TEXT,
-        _key("discovery"): _TEXT,
-        _key("entry"): _TEXT,
+        _key("dataDir", "data_dir"): _STRING,
+        _key("discovery"): _STRING,
+        _key("entry"): _STRING,
         _key("heartbeatMs", "heartbeat_ms"): _number,
-        _key("contracts"): _TEXTS,
-        _key("commands"): _TEXT,
-        _key("app"): _TEXT,
-        _key("service"): _TEXT,
-        _key("zones"): t.Mapping(_TEXT, _TEXT),
+        _key("contracts"): _STRINGS,
+        _key("commands"): _STRING,
+        _key("app"): _STRING,
+        _key("service"): _STRING,
+        _key("zones"): t.Mapping(_STRING, _STRING),
         _key("bindAddrs", "bind"): _BIND,
         _key("limits"): _LIMITS,
         _key("faultTolerance", "tolerance"): _TOLERANCE,
--- a/pipitledge/runtime/settings_watch.py
+++ b/pipitledge/runtime/settings_watcher.py
@@ -14,7 +14,7 @@
 Load = Callable[[str], Settings | SettingsProblem]
 
 
-class _Stamp(Struct, frozen=True):
+class _FileStamp(Struct, frozen=True):
     """What tells one state of a file from another."""
 
     modified_ns: int
@@ -22,7 +22,7 @@
     inode: int
 
 
-class SettingsWatch:
+class SettingsWatcher:
     """The settings in force."""
 
     def __init__(self, path: str, current: Settings, log: EventLog, load: Load = settings_file.load) -> None:
@@ -30,17 +30,17 @@
         self._path = path
         self._log = log
         self._load = load
-        self._stamp: _Stamp | None = None
-        self._sound = True  # what was read last
+        self._stamp: _FileStamp | None = None
+        self._last_read_valid = True  # what was read last
         self.current = current
 
     def poll(self) -> Settings | None:
         """New settings, if the file has changed since the last look and says something else."""
-        stamp = self._look()
+        stamp = self._file_stamp()
         if stamp == self._stamp:
             return None
         loaded = self.reload()
-        if self._sound:
+        if self._last_read_valid:
             self._stamp = stamp  # else it is read again: it may have been unreadable for a moment only
         return loaded
 
@@ -49,19 +49,19 @@
         loaded = self._load(self._path)
         if isinstance(loaded, SettingsProblem):
             self._log.error("settings_broken", step="reload", path=loaded.path, reason=loaded.reason)
-            self._sound = False
+            self._last_read_valid = False
             return None
-        self._sound = True
+        self._last_read_valid = True
         if loaded == self.current:
             return None
         self.current = loaded
         self._log.info("settings_reloaded", path=self._path)
         return loaded
 
-    def _look(self) -> _Stamp | None:
+    def _file_stamp(self) -> _FileStamp | None:
         """The file's stamp; None if there is no file."""
         try:
             found = os.stat(self._path)
         except OSError:
             return None
-        return _Stamp(found.st_mtime_ns, found.st_size, found.st_ino)
+        return _FileStamp(found.st_mtime_ns, found.st_size, found.st_ino)
--- a/pipitledge/runtime/storage.py
+++ b/pipitledge/runtime/storage.py
@@ -18,15 +18,15 @@
 
 from msgspec import Struct
 
-from pipitledge.runtime import log_file, slots
+from pipitledge.runtime import log_file, slot_files
 from pipitledge.runtime.files import File, FileSystem, OsFileSystem
-from pipitledge.runtime.slots import EPOCHS_MAGIC, SNAPSHOT_MAGIC, SlotRecord
+from pipitledge.runtime.slot_files import EPOCHS_MAGIC, SNAPSHOT_MAGIC, SlotRecord
 
 KIB = 1024
 MIB = 1024 * KIB
-USUAL_LOG_BYTES = MIB
-LEAST_LOG_BYTES = 64 * KIB
-LOG_PART_OF_DISK = 16  # two logs and two snapshots are to stay below half of the disk
+DEFAULT_LOG_BYTES = MIB
+MIN_LOG_BYTES = 64 * KIB
+LOG_DISK_DIVISOR = 16  # two logs and two snapshots are to stay below half of the disk
 EPOCHS_NAMES = ("epochs-0", "epochs-1")
 STATE_NAMES = ("state-0", "state-1")
 LOG_NAMES = ("log-0", "log-1")
@@ -35,7 +35,7 @@
 _FORMATTED = SlotRecord(0, b"")  # promises: none; state: none yet, its log follows an empty one
 
 
-class Recovered(Struct, frozen=True):
+class RecoveredData(Struct, frozen=True):
     """What was found on the disk."""
 
     epochs: bytes | None = None
@@ -45,7 +45,7 @@
     corrupt: str = ""  # why what was kept can't be read; nothing else is filled in then
 
 
-class DamagedDisk(Struct, frozen=True):
+class DiskDamage(Struct, frozen=True):
     """Why what was kept can't be read."""
 
     reason: str
@@ -73,21 +73,21 @@
         """Length of the log."""
         return self._log_end
 
-    def open(self) -> Recovered:
+    def open(self) -> RecoveredData:
         """Open the files and read what they hold. What is found corrupt is left as it is until `format`."""
         self.close()
         self._open_files()
         # What a killed process wrote may not be on disk yet. It has to be, before anything is built on it.
-        self._sync_everything()
+        self._sync_all()
         epochs = self._read_slots(self._epochs_files, EPOCHS_MAGIC)
         if epochs is None:
             return self._open_unformatted()
         state = self._read_slots(self._state_files, SNAPSHOT_MAGIC)
         if state is None:
-            return Recovered(corrupt="no valid snapshot")
+            return RecoveredData(corrupt="no valid snapshot")
         log = self._find_log(*state)
-        if isinstance(log, DamagedDisk):
-            return Recovered(corrupt=log.reason)
+        if isinstance(log, DiskDamage):
+            return RecoveredData(corrupt=log.reason)
         self._epochs_slot, promises = epochs
         self._epochs_counter = promises.counter
         self._state_slot, snapshot = state
@@ -97,7 +97,7 @@
 
     def format(self) -> None:
         """Forget everything: make the folder one in which nothing was ever kept."""
-        for file in self._everything():  # the promises first: without them the rest is never taken for a store
+        for file in self._all_files():  # the promises first: without them the rest is never taken for a store
             if file.read_all():
                 file.truncate(0)
                 file.sync()
@@ -144,13 +144,13 @@
 
     def close(self) -> None:
         """Close the files."""
-        for file in self._everything():
+        for file in self._all_files():
             file.close()
         self._epochs_files = []
         self._state_files = []
         self._log_files = []
 
-    def _everything(self) -> list[File]:
+    def _all_files(self) -> list[File]:
         return [*self._epochs_files, *self._state_files, *self._log_files]
 
     def _open_files(self) -> None:
@@ -163,17 +163,17 @@
             for name in names:
                 files.append(self._file_system.open(self._folder, name))
 
-    def _sync_everything(self) -> None:
-        for file in self._everything():
+    def _sync_all(self) -> None:
+        for file in self._all_files():
             file.sync()
         self._file_system.sync_folder(self._folder)
 
-    def _open_unformatted(self) -> Recovered:
+    def _open_unformatted(self) -> RecoveredData:
         """Format the folder, unless it holds what only a formatted one can."""
         if self._was_used():
-            return Recovered(corrupt="no valid record of promises")
+            return RecoveredData(corrupt="no valid record of promises")
         self.format()
-        return Recovered(fresh=True)
+        return RecoveredData(fresh=True)
 
     def _was_used(self) -> bool:
         """Whether the folder was formatted at some time, and something was kept in it."""
@@ -185,21 +185,21 @@
 
     def _read_slots(self, files: list[File], magic: bytes) -> tuple[int, SlotRecord] | None:
         """The newest valid record, with its slot."""
-        records = (slots.decode(magic, files[0].read_all()), slots.decode(magic, files[1].read_all()))
-        slot = slots.newest(records)
+        records = (slot_files.decode(magic, files[0].read_all()), slot_files.decode(magic, files[1].read_all()))
+        slot = slot_files.newest(records)
         record = None if slot is None else records[slot]
         return None if slot is None or record is None else (slot, record)
 
-    def _find_log(self, slot: int, snapshot: SlotRecord) -> log_file.LogContent | DamagedDisk:
+    def _find_log(self, slot: int, snapshot: SlotRecord) -> log_file.LogContent | DiskDamage:
         """The log of the newest snapshot, once nothing shows that a newer snapshot was lost."""
         log = log_file.decode(self._log_files[slot].read_all())
         if log is None or log.generation != snapshot.counter:
-            return DamagedDisk(f"{LOG_NAMES[slot]}: no valid header")
+            return DiskDamage(f"{LOG_NAMES[slot]}: no valid header")
         if log.damaged:
-            return DamagedDisk(f"{LOG_NAMES[slot]}: entry {len(log.entries) + 1} is damaged")
+            return DiskDamage(f"{LOG_NAMES[slot]}: entry {len(log.entries) + 1} is damaged")
         other = log_file.decode(self._log_files[1 - slot].read_all())
         if other is not None and other.generation > snapshot.counter and (other.entries or other.damaged):
-            return DamagedDisk(f"{STATE_NAMES[1 - slot]}: the snapshot before the entries is damaged")
+            return DiskDamage(f"{STATE_NAMES[1 - slot]}: the snapshot before the entries is damaged")
         return log
 
     def _cut_torn_tail(self, log: log_file.LogContent) -> None:
@@ -225,21 +225,21 @@
 def log_limit(disk_mb: int) -> int:
     """How long the log may grow, in bytes, on a disk of that size (0: unknown) before a snapshot is due."""
     if disk_mb <= 0:
-        return USUAL_LOG_BYTES
-    return max(LEAST_LOG_BYTES, min(USUAL_LOG_BYTES, disk_mb * MIB // LOG_PART_OF_DISK))
+        return DEFAULT_LOG_BYTES
+    return max(MIN_LOG_BYTES, min(DEFAULT_LOG_BYTES, disk_mb * MIB // LOG_DISK_DIVISOR))
 
 
-def _recovered(promises: SlotRecord, snapshot: SlotRecord, entries: list[bytes]) -> Recovered:
+def _recovered(promises: SlotRecord, snapshot: SlotRecord, entries: list[bytes]) -> RecoveredData:
     """What was kept; a folder that was formatted and no more is still fresh."""
     epochs = promises.payload if promises.counter > _FORMATTED.counter else None
     state = snapshot.payload if snapshot.counter > _FORMATTED.counter else None
     fresh = epochs is None and state is None and not entries
-    return Recovered(epochs, state, entries, fresh)
+    return RecoveredData(epochs, state, entries, fresh)
 
 
 def _write_slot(file: File, magic: bytes, record: SlotRecord) -> None:
     """Write a record over an older one and sync it."""
-    file.write_at(0, slots.encode_header(magic, record))
-    file.write_at(slots.HEADER_BYTES, record.payload)
-    file.truncate(slots.HEADER_BYTES + len(record.payload))
+    file.write_at(0, slot_files.encode_header(magic, record))
+    file.write_at(slot_files.HEADER_BYTES, record.payload)
+    file.truncate(slot_files.HEADER_BYTES + len(record.payload))
     file.sync()
--- a/pipitledge/runtime/timers.py
+++ b/pipitledge/runtime/timers.py
@@ -8,7 +8,7 @@
 
 Action = Callable[[], None]
 
-COMPACT_ABOVE = 64  # cancelled timers that may stay in the heap before it is rebuilt
+MAX_CANCELLED = 64  # cancelled timers that may stay in the heap before it is rebuilt
 
 
 class ScheduledAction:
@@ -28,7 +28,7 @@
         return (self.when, self._order) < (other.when, other._order)
 
     @property
-    def live(self) -> bool:
+    def pending(self) -> bool:
         """Whether it has neither run nor been cancelled."""
         return self._action is not None
 
@@ -36,7 +36,7 @@
         """Drop the action; nothing happens if it has run."""
         if self._action is not None:
             self._action = None
-            self._queue.note_cancelled()
+            self._queue.count_cancelled()
 
     def fire(self) -> None:
         """Run the action, unless it was cancelled."""
@@ -71,12 +71,12 @@
                 self._changed.notify()
         return timer
 
-    def note_cancelled(self) -> None:
+    def count_cancelled(self) -> None:
         """Count a cancelled timer, and rebuild the heap once most of it is cancelled."""
         with self._changed:
             self._cancelled += 1
-            if self._cancelled > COMPACT_ABOVE and self._cancelled * 2 > len(self._heap):
-                self._heap = [timer for timer in self._heap if timer.live]
+            if self._cancelled > MAX_CANCELLED and self._cancelled * 2 > len(self._heap):
+                self._heap = [timer for timer in self._heap if timer.pending]
                 heapq.heapify(self._heap)
                 self._cancelled = 0
 
@@ -118,6 +118,6 @@
 
     def _drop_cancelled(self) -> None:
         """Forget cancelled timers at the head of the heap."""
-        while self._heap and not self._heap[0].live:
+        while self._heap and not self._heap[0].pending:
             heapq.heappop(self._heap)
             self._cancelled = max(0, self._cancelled - 1)
--- a/pipitledge/runtime/transport.py
+++ b/pipitledge/runtime/transport.py
@@ -9,18 +9,18 @@
 
 from pipitledge.runtime import message_body
 from pipitledge.runtime.call_threads import CallLimits
-from pipitledge.runtime.datagrams import Datagrams
-from pipitledge.runtime.exchanges import INTERNAL_PATH, LARGEST_MESSAGE, InternalExchange
+from pipitledge.runtime.datagrams import DatagramSocket
+from pipitledge.runtime.exchanges import INTERNAL_PATH, MAX_MESSAGE_BYTES, InternalExchange
+from pipitledge.runtime.executor import SerialExecutor
 from pipitledge.runtime.handlers import Handlers
-from pipitledge.runtime.host import Host
-from pipitledge.runtime.http_calls import OK, CallResult, HttpCalls, OutgoingCall
+from pipitledge.runtime.http_client import OK, CallResult, HttpClient, OutgoingCall
 from pipitledge.runtime.http_server import HttpServer, ServerOptions
 from pipitledge.runtime.logs import EventLog
 from pipitledge.runtime.ports import ReplyHandler
 from pipitledge.wire import codec
 
 IDLE_SECONDS = 120.0  # peers keep their connections
-LIFE_BYTES = 6
+INCARNATION_BYTES = 6
 
 
 class NoFreePortError(OSError):
@@ -30,26 +30,28 @@
 class Transport:
     """Implements the port `Network`, and answers other processes' messages."""
 
-    def __init__(self, host: Host, handlers: Handlers, log: EventLog, connections: int = 1024) -> None:
+    def __init__(self, executor: SerialExecutor, handlers: Handlers, log: EventLog, connections: int = 1024) -> None:
         """Answer by `handlers`, and keep at most `connections` that others made."""
-        self._host = host
+        self._executor = executor
         self._handlers = handlers
         self._log = log
-        self.exchange = InternalExchange(host, handlers, log)
+        self.exchange = InternalExchange(executor, handlers, log)
         self._options = ServerOptions(
             name="internal",
             threads=4,
-            most_threads=96,
-            body_limit=LARGEST_MESSAGE,
+            max_threads=96,
+            body_limit=MAX_MESSAGE_BYTES,
             idle_seconds=IDLE_SECONDS,
             connections=connections,
         )
-        self._calls = HttpCalls(host, "calls", CallLimits())
-        self._take_deflated: set[str] = set()  # addresses whose last answer said so; versions before this one don't
-        self._life = secrets.token_hex(LIFE_BYTES)  # tells calls of this process from those of others at its address
+        self._calls = HttpClient(executor, "calls", CallLimits())
+        self._deflate_peers: set[str] = set()  # addresses whose last answer said so; versions before this one don't
+        self._incarnation = secrets.token_hex(
+            INCARNATION_BYTES
+        )  # tells calls of this process from those of others at its address
         self._call_numbers = itertools.count(1)
         self._server: HttpServer
-        self.datagrams: Datagrams
+        self.datagrams: DatagramSocket
         self.address = ""  # "ip:port", once bound
 
     def bind(self, ip: str, ports: tuple[int, int]) -> None:
@@ -81,11 +83,11 @@
         """Send over HTTP; `on_reply` gets the answer, or None after a failure or `timeout` seconds."""
 
         def on_result(result: CallResult) -> None:
-            self._note_encoding(address, result)
+            self._record_encoding(address, result)
             on_reply(self._decoded(result, request, address))
 
-        call_id = f"{self._life}-{next(self._call_numbers)}"
-        body = message_body.pack(codec.encode(request), allowed=address in self._take_deflated)
+        call_id = f"{self._incarnation}-{next(self._call_numbers)}"
+        body = message_body.compress(codec.encode(request), allowed=address in self._deflate_peers)
         headers = {**message_body.ACCEPTS_DEFLATE, **body.headers}
         self._calls.post(OutgoingCall(address, INTERNAL_PATH, body.data, timeout, headers, call_id), on_result)
 
@@ -96,7 +98,7 @@
     def _bind_port(self, ip: str, port: int) -> None:
         """Take one port over both protocols, or neither."""
         server = HttpServer(ip, port, self.exchange, self._options, self._log)
-        datagrams = Datagrams(self._host, self._handlers.datagram, self._log)
+        datagrams = DatagramSocket(self._executor, self._handlers.datagram, self._log)
         try:
             server.bind()
             datagrams.bind(ip, server.port)
@@ -108,12 +110,12 @@
         self.datagrams = datagrams
         self.address = f"{ip}:{server.port}"
 
-    def _note_encoding(self, address: str, result: CallResult) -> None:
+    def _record_encoding(self, address: str, result: CallResult) -> None:
         """Remember whether requests to `address` may be deflated."""
-        if result.takes_deflated:
-            self._take_deflated.add(address)
+        if result.accepts_deflate:
+            self._deflate_peers.add(address)
         elif result.status:
-            self._take_deflated.discard(address)
+            self._deflate_peers.discard(address)
 
     def _decoded(self, result: CallResult, request: Struct, address: str) -> Struct | None:
         """The reply, or None."""
--- a/pipitledge/runtime/worker_calls.py
+++ b/pipitledge/runtime/worker_client.py
@@ -5,37 +5,37 @@
 from collections.abc import Callable
 
 from pipitledge.runtime.call_threads import CallLimits
-from pipitledge.runtime.host import Host
-from pipitledge.runtime.http_calls import CallResult, HttpCalls, OutgoingCall
-from pipitledge.runtime.ports import WorkerAnswer
+from pipitledge.runtime.executor import SerialExecutor
+from pipitledge.runtime.http_client import CallResult, HttpClient, OutgoingCall
+from pipitledge.runtime.ports import WorkerResponse
 
 CONCURRENT_CALLS = 8  # connections to a worker are kept, and each new one has its price
 HEADERS = {"Content-Type": "application/json"}
 INSTANCE_HEADER = "X-Expect-Instance"
 
 
-class HttpWorkerCalls:
+class HttpWorkerClient:
     """Posts JSON to one worker over kept connections."""
 
-    def __init__(self, host: Host, address: str) -> None:
+    def __init__(self, executor: SerialExecutor, address: str) -> None:
         """Call the worker at `address` ("ip:port")."""
         limits = CallLimits(
             threads=CONCURRENT_CALLS,
             per_address=CONCURRENT_CALLS,
             per_suspect=CONCURRENT_CALLS,
-            all_suspects=CONCURRENT_CALLS,
+            total_suspect=CONCURRENT_CALLS,
         )
-        self._calls = HttpCalls(host, "worker", limits)
+        self._calls = HttpClient(executor, "worker", limits)
         self._address = address
 
     def post(
-        self, path: str, body: bytes, instance: str, timeout: float, on_answer: Callable[[WorkerAnswer], None]
+        self, path: str, body: bytes, instance: str, timeout: float, on_answer: Callable[[WorkerResponse], None]
     ) -> None:
         """POST JSON to the worker, meant for its life `instance` (empty: any)."""
         headers = {**HEADERS, INSTANCE_HEADER: instance} if instance else HEADERS
 
         def on_result(result: CallResult) -> None:
-            on_answer(WorkerAnswer(result.status, result.body, result.refused))
+            on_answer(WorkerResponse(result.status, result.body, result.refused))
 
         self._calls.post(OutgoingCall(self._address, path, body, timeout, headers), on_result)
 
--- a/tests/system/agent_worker.py
+++ b/tests/system/agent_worker.py
@@ -14,7 +14,7 @@
 from msgspec import Struct
 
 from pipitledge.agent.agent import Agent, AgentIdentity
-from pipitledge.runtime.ports import WorkerAnswer
+from pipitledge.runtime.ports import WorkerResponse
 from pipitledge.runtime.settings import Bounds
 from pipitledge.wire.messages import AgentOrders, AgentReport, OrdersReply, StartOrder, StopOrder, View
 from tests.system.virtual import Machine, Process, World, copied
@@ -306,32 +306,32 @@
 
 
 class ModelCalls:
-    """`WorkerCalls` of one agent process."""
+    """`WorkerClient` of one agent process."""
 
     def __init__(self, worker: ModelWorker, process: Process) -> None:
         self._worker = worker
         self._process = process
 
     def post(
-        self, path: str, body: bytes, instance: str, timeout: float, on_answer: Callable[[WorkerAnswer], None]
+        self, path: str, body: bytes, instance: str, timeout: float, on_answer: Callable[[WorkerResponse], None]
     ) -> None:
         worker, world = self._worker, self._worker.world
         sent = Sent(world.time, path, json.loads(body), instance)
         worker.sent.append(sent)
-        answers: list[WorkerAnswer] = []
+        answers: list[WorkerResponse] = []
 
-        def end(answer: WorkerAnswer) -> None:
+        def end(answer: WorkerResponse) -> None:
             if not answers:
                 answers.append(answer)
                 self._process.deliver(lambda: on_answer(answer))
 
         def answered(status: int, told: dict[str, Any]) -> None:
-            answer = WorkerAnswer(status, json.dumps(told).encode())
+            answer = WorkerResponse(status, json.dumps(told).encode())
             world.after(worker.answer_delay(sent), lambda: end(answer))
 
-        world.after(timeout, lambda: end(WorkerAnswer()))
+        world.after(timeout, lambda: end(WorkerResponse()))
         if not worker.listening:
-            world.after(WIRE_DELAY, lambda: end(WorkerAnswer(refused=True)))
+            world.after(WIRE_DELAY, lambda: end(WorkerResponse(refused=True)))
             return
         missed = worker.misses(sent)
         if worker.dark:
--- a/tests/system/disk_model.py
+++ b/tests/system/disk_model.py
@@ -13,12 +13,12 @@
 SECTOR_BYTES = 512
 
 
-class Ended(Exception):
+class ProcessKilled(Exception):
     """The process has ended in the middle of an operation."""
 
 
 @dataclass
-class Change:
+class FileChange:
     """A write, or (`data` None) a new length."""
 
     offset: int
@@ -27,33 +27,33 @@
     refused: bool = False  # its sync failed: a later sync needn't cover it
 
 
-class Fate:
+class PowerLossOutcome:
     """What a loss of power does to what wasn't synced."""
 
     def keeps_name(self) -> bool:
         raise NotImplementedError
 
-    def rest_of(self, change: Change) -> list[Change]:
+    def surviving_parts(self, change: FileChange) -> list[FileChange]:
         raise NotImplementedError
 
 
-class LoseAll(Fate):
+class LoseAll(PowerLossOutcome):
     """Nothing that wasn't synced is kept."""
 
     def keeps_name(self) -> bool:
         return False
 
-    def rest_of(self, change: Change) -> list[Change]:
+    def surviving_parts(self, change: FileChange) -> list[FileChange]:
         return []
 
 
-class KeepAll(Fate):
+class KeepAll(PowerLossOutcome):
     """All of it is kept."""
 
     def keeps_name(self) -> bool:
         return True
 
-    def rest_of(self, change: Change) -> list[Change]:
+    def surviving_parts(self, change: FileChange) -> list[FileChange]:
         return [change]
 
 
@@ -64,7 +64,7 @@
         return False
 
 
-class Scatter(Fate):
+class RandomOutcome(PowerLossOutcome):
     """Each is kept, lost or torn, as the seed has it."""
 
     def __init__(self, seed: int) -> None:
@@ -73,7 +73,7 @@
     def keeps_name(self) -> bool:
         return self._random.random() < 0.5
 
-    def rest_of(self, change: Change) -> list[Change]:
+    def surviving_parts(self, change: FileChange) -> list[FileChange]:
         kind = self._random.choice(("kept", "lost", "prefix", "suffix", "sectors"))
         if kind == "lost":
             return []
@@ -83,21 +83,21 @@
             return self._some_sectors(change, change.data)
         cut = self._random.randint(0, len(change.data))
         if kind == "prefix":
-            return [Change(change.offset, change.data[:cut])]
-        return [Change(change.offset + cut, change.data[cut:])]
+            return [FileChange(change.offset, change.data[:cut])]
+        return [FileChange(change.offset + cut, change.data[cut:])]
 
-    def _some_sectors(self, change: Change, data: bytes) -> list[Change]:
+    def _some_sectors(self, change: FileChange, data: bytes) -> list[FileChange]:
         starts = range(0, len(data), SECTOR_BYTES)
         kept = [start for start in starts if self._random.random() < 0.5]
-        return [Change(change.offset + start, data[start : start + SECTOR_BYTES]) for start in kept]
+        return [FileChange(change.offset + start, data[start : start + SECTOR_BYTES]) for start in kept]
 
 
 @dataclass
-class Node:
+class ModelInode:
     """A file on the disk."""
 
     durable: bytes = b""
-    changes: list[Change] = field(default_factory=list)
+    changes: list[FileChange] = field(default_factory=list)
     name_durable: bool = False
 
     def content(self) -> bytes:
@@ -113,14 +113,14 @@
         for change in self.changes:
             change.refused = not change.synced
 
-    def after_power_loss(self, fate: Fate) -> bytes:
-        rest: list[Change] = []
+    def after_power_loss(self, power_loss: PowerLossOutcome) -> bytes:
+        rest: list[FileChange] = []
         for change in self.changes:
-            rest += [change] if change.synced else fate.rest_of(change)
+            rest += [change] if change.synced else power_loss.surviving_parts(change)
         return apply(self.durable, rest)
 
 
-def apply(content: bytes, changes: list[Change]) -> bytes:
+def apply(content: bytes, changes: list[FileChange]) -> bytes:
     """The content once those changes are made."""
     changed = bytearray(content)
     for change in changes:
@@ -138,92 +138,92 @@
     """A disk with one folder; it outlives the processes that use it."""
 
     def __init__(self) -> None:
-        self.nodes: dict[str, Node] = {}
+        self.inodes: dict[str, ModelInode] = {}
         self.operations = 0  # those that change or sync something
         self.syncs = 0
-        self.end_at = -1  # the operation at which the process ends
+        self.kill_at = -1  # the operation at which the process ends
         self.refusals = 0  # so many operations from now on are refused
 
-    def lose_power(self, fate: Fate) -> None:
+    def lose_power(self, power_loss: PowerLossOutcome) -> None:
         """Leave only what a loss of power leaves."""
-        survivors: dict[str, Node] = {}
-        for name, node in self.nodes.items():
-            if node.name_durable or fate.keeps_name():
-                survivors[name] = Node(node.after_power_loss(fate), name_durable=True)
-        self.nodes = survivors
+        survivors: dict[str, ModelInode] = {}
+        for name, inode in self.inodes.items():
+            if inode.name_durable or power_loss.keeps_name():
+                survivors[name] = ModelInode(inode.after_power_loss(power_loss), name_durable=True)
+        self.inodes = survivors
 
     def wipe(self) -> None:
-        self.nodes = {}
+        self.inodes = {}
 
     def make_folder(self, folder: str) -> None:
         """There is one folder, and it is there."""
 
     def open(self, folder: str, name: str) -> ModelFile:
-        if name not in self.nodes:
-            self._step_or_refuse()
-            self.nodes[name] = Node()
-            self._end_if_due()
-        return ModelFile(self, self.nodes[name])
+        if name not in self.inodes:
+            self._count_or_fail()
+            self.inodes[name] = ModelInode()
+            self._kill_if_due()
+        return ModelFile(self, self.inodes[name])
 
     def sync_folder(self, folder: str) -> None:
-        self._step_or_refuse()
-        self._end_if_due()
+        self._count_or_fail()
+        self._kill_if_due()
         self.syncs += 1
-        for node in self.nodes.values():
-            node.name_durable = True
+        for inode in self.inodes.values():
+            inode.name_durable = True
 
-    def change(self, node: Node, change: Change) -> None:
+    def change(self, inode: ModelInode, change: FileChange) -> None:
         try:
-            self._step_or_refuse()
+            self._count_or_fail()
         except OSError:
             if change.data is not None:
-                node.changes.append(Change(change.offset, change.data[: len(change.data) // 2]))
+                inode.changes.append(FileChange(change.offset, change.data[: len(change.data) // 2]))
             raise
-        node.changes.append(change)
-        self._end_if_due()
+        inode.changes.append(change)
+        self._kill_if_due()
 
-    def sync(self, node: Node) -> None:
+    def sync(self, inode: ModelInode) -> None:
         try:
-            self._step_or_refuse()
+            self._count_or_fail()
         except OSError:
-            node.refuse_sync()
+            inode.refuse_sync()
             raise
-        self._end_if_due()
+        self._kill_if_due()
         self.syncs += 1
-        node.sync()
+        inode.sync()
 
-    def _step_or_refuse(self) -> None:
+    def _count_or_fail(self) -> None:
         self.operations += 1
         if self.refusals > 0:
             self.refusals -= 1
             raise OSError(5, "Input/output error")
 
-    def _end_if_due(self) -> None:
-        if self.operations - 1 == self.end_at:
-            raise Ended
+    def _kill_if_due(self) -> None:
+        if self.operations - 1 == self.kill_at:
+            raise ProcessKilled
 
 
 class ModelFile:
     """An open file of a `ModelDisk`."""
 
-    def __init__(self, disk: ModelDisk, node: Node) -> None:
+    def __init__(self, disk: ModelDisk, inode: ModelInode) -> None:
         self._disk = disk
-        self._node = node
+        self._inode = inode
 
     def read_all(self) -> bytes:
-        return self._node.content()
+        return self._inode.content()
 
     def write_at(self, offset: int, data: bytes) -> None:
-        self._disk.change(self._node, Change(offset, bytes(data)))
+        self._disk.change(self._inode, FileChange(offset, bytes(data)))
 
     def truncate(self, size: int) -> None:
-        self._disk.change(self._node, Change(size, None))
+        self._disk.change(self._inode, FileChange(size, None))
 
     def sync(self) -> None:
-        self._disk.sync(self._node)
+        self._disk.sync(self._inode)
 
     def sync_data(self) -> None:
-        self._disk.sync(self._node)
+        self._disk.sync(self._inode)
 
     def close(self) -> None:
         """Nothing is held."""
--- a/tests/system/runtime_case.py
+++ b/tests/system/runtime_case.py
@@ -13,17 +13,17 @@
 
 from pipitledge.runtime import logs
 from pipitledge.runtime.exchanges import HandlerExchange
-from pipitledge.runtime.host import Host
+from pipitledge.runtime.executor import SerialExecutor
 from pipitledge.runtime.http_server import HttpServer, ServerOptions
 from pipitledge.runtime.http_types import HttpRequest, HttpResponse, Respond
 
 LOOPBACK = "127.0.0.1"
-PATIENCE = 30.0  # seconds; a bound for broken code, never waited for
+WAIT_SECONDS = 30.0  # seconds; a bound for broken code, never waited for
 LOG = logs.get("test_runtime")
 T = TypeVar("T")
 
 
-class Box(Generic[T]):
+class ResultBox(Generic[T]):
     """Takes one value from another thread."""
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         self._arrived.set()
 
     def take(self) -> T:
-        if not self._arrived.wait(PATIENCE):
+        if not self._arrived.wait(WAIT_SECONDS):
             raise AssertionError("nothing arrived")
         return self._values[0]
 
@@ -45,7 +45,7 @@
 
 def eventually(condition: Callable[[], bool]) -> None:
     """Let other threads run until `condition` holds."""
-    give_up_at = time.monotonic() + PATIENCE
+    give_up_at = time.monotonic() + WAIT_SECONDS
     while not condition():
         if time.monotonic() > give_up_at:
             raise AssertionError("it never came about")
@@ -56,13 +56,13 @@
     """A public server with one thread, unless a test asks for more."""
 
     def setUp(self) -> None:
-        self.host = Host(LOG)
+        self.executor = SerialExecutor(LOG)
         self.requests: list[HttpRequest] = []
-        options = ServerOptions("test", threads=1, most_threads=1, body_limit=1000, read_seconds=2 * PATIENCE)
+        options = ServerOptions("test", threads=1, max_threads=1, body_limit=1000, read_seconds=2 * WAIT_SECONDS)
         self.server = self.started(options)
 
     def started(self, options: ServerOptions) -> HttpServer:
-        exchange = HandlerExchange(self.host, self.answer, PATIENCE, "test")
+        exchange = HandlerExchange(self.executor, self.answer, WAIT_SECONDS, "test")
         server = HttpServer(LOOPBACK, 0, exchange, options, LOG)
         server.bind()
         server.start()
@@ -74,7 +74,7 @@
         respond(HttpResponse(200, request.body[::-1], {"X-Path": request.path}))
 
     def connect(self) -> socket.socket:
-        connection = socket.create_connection((LOOPBACK, self.server.port), timeout=PATIENCE)
+        connection = socket.create_connection((LOOPBACK, self.server.port), timeout=WAIT_SECONDS)
         self.addCleanup(connection.close)
         return connection
 
--- a/tests/system/test_http_end.py
+++ b/tests/system/test_http_end.py
@@ -10,16 +10,16 @@
 from cheroot.workers.threadpool import WorkerThread
 
 from pipitledge.runtime.exchanges import HandlerExchange
-from pipitledge.runtime.http_connections import Connection, WatchedConnections
+from pipitledge.runtime.http_connections import Connection, IdleConnectionManager
 from pipitledge.runtime.http_server import HttpServer, ServerOptions
 from pipitledge.runtime.http_types import HttpRequest, HttpResponse, Respond
-from tests.system.runtime_case import LOG, LOOPBACK, PATIENCE, HttpServerCase, eventually
+from tests.system.runtime_case import LOG, LOOPBACK, WAIT_SECONDS, HttpServerCase, eventually
 
 CALL = b"GET /call HTTP/1.1\r\nHost: h\r\n\r\n"
 ANSWERED = b"HTTP/1.1 200 OK"
 
 
-class EndCase(HttpServerCase):
+class ShutdownCase(HttpServerCase):
     """Calls to /held are answered when the test says so."""
 
     def setUp(self) -> None:
@@ -34,8 +34,10 @@
 
     def prepared(self) -> HttpServer:
         """A server that listens and does not serve yet."""
-        options = ServerOptions("test", threads=1, most_threads=4)
-        server = HttpServer(LOOPBACK, 0, HandlerExchange(self.host, self.answer, PATIENCE, "test"), options, LOG)
+        options = ServerOptions("test", threads=1, max_threads=4)
+        server = HttpServer(
+            LOOPBACK, 0, HandlerExchange(self.executor, self.answer, WAIT_SECONDS, "test"), options, LOG
+        )
         server.bind()
         self.addCleanup(server.stop)
         return server
@@ -45,7 +47,7 @@
             return stream.read()
 
 
-class RetiredServerTest(EndCase):
+class RetiredServerTest(ShutdownCase):
     def test_a_call_under_way_is_answered_before_the_server_finishes(self) -> None:
         connection = self.connect()
         connection.sendall(CALL.replace(b"/call", b"/held"))
@@ -62,7 +64,7 @@
         eventually(self.server.finished)
 
     def test_a_call_on_an_open_connection_is_answered_and_ends_it(self) -> None:
-        self.server = self.started(ServerOptions("test", threads=2, most_threads=2))
+        self.server = self.started(ServerOptions("test", threads=2, max_threads=2))
         held, other = self.connect(), self.connect()
         held.sendall(CALL.replace(b"/call", b"/held"))
         eventually(lambda: len(self.held) == 1)
@@ -87,7 +89,7 @@
     def test_clients_that_go_on_connecting_do_not_keep_it(self) -> None:
         """As many are accepted as may wait at one moment, however many come meanwhile."""
         self.server = self.prepared()
-        with mock.patch.object(WatchedConnections, "_accept", return_value=True) as accept:
+        with mock.patch.object(IdleConnectionManager, "_accept", return_value=True) as accept:
             self.server.retire()
             self.server.start()
             eventually(self.server.finished)
@@ -120,7 +122,7 @@
         self.assertEqual(self.held, [])
 
 
-class CallsUnderWayTest(EndCase):
+class InFlightCallsTest(ShutdownCase):
     def test_a_call_counts_before_its_connection_is_off_the_watch(self) -> None:
         """Else there is a moment at which the server seems to have no call and nothing to read."""
         selector = self.server._server._connections._selector
@@ -159,11 +161,11 @@
         self.assertEqual(counted, [1])
 
 
-class SlowThreadStartTest(EndCase):
+class SlowThreadStartTest(ShutdownCase):
     """On a machine with too much to do a thread's start takes seconds. Calls were read by nobody meanwhile."""
 
     def test_the_thread_that_watches_connections_does_not_wait_for_a_start(self) -> None:
-        self.server = self.started(ServerOptions("test", threads=1, most_threads=4))
+        self.server = self.started(ServerOptions("test", threads=1, max_threads=4))
         self.assertEqual(self.statuses(CALL), [200])  # its first thread is there; else that one's start would be slow
         starting, go_on = threading.Event(), threading.Event()
         self.addCleanup(go_on.set)
@@ -172,13 +174,13 @@
 
         def start_slowly(worker: WorkerThread) -> None:
             starting.set()
-            over.append(go_on.wait(PATIENCE))
+            over.append(go_on.wait(WAIT_SECONDS))
             start(worker)
 
         with mock.patch.object(WorkerThread, "start", start_slowly):
             for _ in range(2):
                 self.connect().sendall(CALL.replace(b"/call", b"/held"))
-            self.assertTrue(starting.wait(PATIENCE))
+            self.assertTrue(starting.wait(WAIT_SECONDS))
             eventually(lambda: len(self.held) == 1)
             self.held[0](HttpResponse(200))
             eventually(lambda: len(self.held) == 2)
--- a/tests/system/test_http_server.py
+++ b/tests/system/test_http_server.py
@@ -7,7 +7,7 @@
 
 from pipitledge.runtime.http_server import ServerOptions
 from pipitledge.runtime.http_types import HttpRequest, HttpResponse, Respond
-from tests.system.runtime_case import PATIENCE, HttpServerCase
+from tests.system.runtime_case import WAIT_SECONDS, HttpServerCase
 
 GROWTH_SECONDS = 10.0  # a bound for broken code, never waited for
 
@@ -91,7 +91,7 @@
                 waiting(HttpResponse(200))
 
     def test_threads_are_added_while_answers_are_waited_for(self) -> None:
-        self.server = self.started(ServerOptions("test", threads=1, most_threads=4))
+        self.server = self.started(ServerOptions("test", threads=1, max_threads=4))
         earlier = [self.connect() for _ in range(3)]
         for connection in earlier:
             connection.sendall(b"GET /first HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -99,7 +99,7 @@
 
     def test_a_thread_that_has_just_taken_a_request_does_not_count_as_idle(self) -> None:
         """Seen once: a call waited for the whole time of the call before it, as no thread was added."""
-        self.server = self.started(ServerOptions("test", threads=1, most_threads=2))
+        self.server = self.started(ServerOptions("test", threads=1, max_threads=2))
         requests = self.server._server.requests
         taken, go_on = threading.Event(), threading.Event()
         self.addCleanup(go_on.set)
@@ -109,14 +109,14 @@
             request = take()
             if not taken.is_set():
                 taken.set()
-                go_on.wait(PATIENCE)
+                go_on.wait(WAIT_SECONDS)
             return request
 
         requests.get = take_and_wait
         self.statuses(b"GET /last HTTP/1.1\r\nHost: h\r\n\r\n")  # the thread now takes its next request by the new way
         first = self.connect()
         first.sendall(b"GET /last HTTP/1.1\r\nHost: h\r\n\r\n")
-        self.assertTrue(taken.wait(PATIENCE))
+        self.assertTrue(taken.wait(WAIT_SECONDS))
         second = self.connect()
         second.settimeout(GROWTH_SECONDS)
         second.sendall(b"GET /last HTTP/1.1\r\nHost: h\r\n\r\n")
--- a/tests/system/test_line_writer.py
+++ b/tests/system/test_line_writer.py
@@ -7,7 +7,7 @@
 
 from pipitledge.runtime.line_writer import LineWriter
 
-PATIENCE_SECONDS = 20.0  # a bound for broken code, never waited for
+WAIT_SECONDS = 20.0  # a bound for broken code, never waited for
 
 
 class Sink:
@@ -22,7 +22,7 @@
 
     def log(self, _level: int, msg: str, /) -> None:
         self.reached.set()
-        self.open.wait(PATIENCE_SECONDS)
+        self.open.wait(WAIT_SECONDS)
         if self.refusals:
             self.refusals -= 1
             raise OSError("no space left on device")
@@ -32,30 +32,30 @@
 class LineWriterTest(unittest.TestCase):
     def setUp(self) -> None:
         self.sink = Sink()
-        self.writer = LineWriter(self.sink, most_waiting=3)
+        self.writer = LineWriter(self.sink, max_queued=3)
 
     def test_lines_are_written_in_their_order(self) -> None:
         for line in ("first", "second", "third"):
             self.writer.log(0, line)
-            self.assertTrue(self.writer.flush(PATIENCE_SECONDS))
+            self.assertTrue(self.writer.flush(WAIT_SECONDS))
         self.assertEqual(self.sink.written, ["first", "second", "third"])
 
     def test_lines_that_find_no_room_are_counted(self) -> None:
         self.sink.open.clear()
         self.writer.log(0, "held up")
-        self.assertTrue(self.sink.reached.wait(PATIENCE_SECONDS))
+        self.assertTrue(self.sink.reached.wait(WAIT_SECONDS))
         for line in ("1", "2", "3", "4", "5"):
             self.writer.log(0, line)
         self.sink.open.set()
-        self.assertTrue(self.writer.flush(PATIENCE_SECONDS))
+        self.assertTrue(self.writer.flush(WAIT_SECONDS))
         self.assertEqual(self.sink.written, ["held up", "1", "2", "3", "lines_left_out=2"])
 
     def test_lines_after_one_that_could_not_be_written_are(self) -> None:
         self.sink.refusals = 1
         self.writer.log(0, "refused")
-        self.assertTrue(self.writer.flush(PATIENCE_SECONDS))
+        self.assertTrue(self.writer.flush(WAIT_SECONDS))
         self.writer.log(0, "next")
-        self.assertTrue(self.writer.flush(PATIENCE_SECONDS))
+        self.assertTrue(self.writer.flush(WAIT_SECONDS))
         self.assertEqual(self.sink.written, ["lines_left_out=1", "next"])
 
     def test_a_flush_does_not_wait_for_longer_than_it_may(self) -> None:
--- a/tests/system/test_log_lines.py
+++ b/tests/system/test_log_lines.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[2]
-PATIENCE_SECONDS = 20.0  # a bound for broken code, never waited for
+WAIT_SECONDS = 20.0  # a bound for broken code, never waited for
 THREADS, LINES = 4, 2_000
 
 WRITE_FROM_THREADS = f"""
@@ -54,7 +54,7 @@
         with subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, cwd=ROOT) as process:
             self.addCleanup(process.kill)
             try:
-                process.wait(PATIENCE_SECONDS)
+                process.wait(WAIT_SECONDS)
             except subprocess.TimeoutExpired:
                 process.kill()
             assert process.stderr is not None
@@ -65,7 +65,7 @@
     def test_threads_that_write_at_once_do_not_stop_the_process(self) -> None:
         command = [sys.executable, "-c", WRITE_FROM_THREADS]
         try:
-            done = subprocess.run(command, stdout=subprocess.PIPE, cwd=ROOT, timeout=PATIENCE_SECONDS, check=True)
+            done = subprocess.run(command, stdout=subprocess.PIPE, cwd=ROOT, timeout=WAIT_SECONDS, check=True)
         except subprocess.TimeoutExpired:
             self.fail("the process stands still")
         self.assertEqual(len(done.stdout.splitlines()), THREADS * LINES)
--- a/tests/system/test_message_body.py
+++ b/tests/system/test_message_body.py
@@ -11,15 +11,15 @@
 
 from pipitledge.runtime import message_body
 from pipitledge.runtime.exchanges import INTERNAL_PATH, InternalExchange
+from pipitledge.runtime.executor import SerialExecutor
 from pipitledge.runtime.handlers import Handlers
-from pipitledge.runtime.host import Host
-from pipitledge.runtime.http_calls import CALL_ID_HEADER
+from pipitledge.runtime.http_client import CALL_ID_HEADER
 from pipitledge.runtime.http_types import HttpRequest, HttpResponse
 from pipitledge.runtime.transport import Transport
 from pipitledge.wire import codec
 from pipitledge.wire.messages import OperatorCall, OperatorReply
 from tests.system.configuration_world import SilentLog, route, whole
-from tests.system.runtime_case import LOG, LOOPBACK, PATIENCE, Box
+from tests.system.runtime_case import LOG, LOOPBACK, WAIT_SECONDS, ResultBox
 
 LONG = whole(7, *[route(number) for number in range(500)])
 LARGEST = 1 << 20
@@ -27,34 +27,34 @@
 
 class PackTest(unittest.TestCase):
     def test_long_bodies_get_shorter_and_come_back(self) -> None:
-        packed = message_body.pack(LONG)
-        self.assertLess(len(packed.data), len(LONG) // 5)
-        encoding = packed.headers[message_body.CONTENT_ENCODING]
-        self.assertEqual(message_body.unpack(packed.data, encoding, LARGEST), LONG)
+        compressed = message_body.compress(LONG)
+        self.assertLess(len(compressed.data), len(LONG) // 5)
+        encoding = compressed.headers[message_body.CONTENT_ENCODING]
+        self.assertEqual(message_body.decompress(compressed.data, encoding, LARGEST), LONG)
 
     def test_short_ones_and_noise_stay_as_they_are(self) -> None:
-        for body in (b"", b"x" * (message_body.PACK_FROM_BYTES - 1), random.Random(1).randbytes(10_000)):
-            packed = message_body.pack(body)
-            self.assertEqual((packed.data, packed.headers), (body, {}))
-            self.assertEqual(message_body.unpack(packed.data, "", LARGEST), body)
+        for body in (b"", b"x" * (message_body.MIN_COMPRESS_BYTES - 1), random.Random(1).randbytes(10_000)):
+            compressed = message_body.compress(body)
+            self.assertEqual((compressed.data, compressed.headers), (body, {}))
+            self.assertEqual(message_body.decompress(compressed.data, "", LARGEST), body)
 
     def test_what_is_broken_or_too_large_is_refused(self) -> None:
-        data = message_body.pack(LONG).data
-        for broken, encoding, largest in (
+        data = message_body.compress(LONG).data
+        for broken, encoding, max_bytes in (
             (data[:-1], "deflate", LARGEST),
             (b"no such format", "deflate", LARGEST),
             (data, "br", LARGEST),
             (data, "deflate", len(LONG) - 1),
         ):
-            with self.assertRaises(message_body.PackingError):
-                message_body.unpack(broken, encoding, largest)
+            with self.assertRaises(message_body.EncodingError):
+                message_body.decompress(broken, encoding, max_bytes)
 
 
 class ExchangeTest(unittest.TestCase):
     def setUp(self) -> None:
         handlers = Handlers()
         handlers.on_call(OperatorCall, lambda call, reply: reply(OperatorReply(200, call.body)))
-        self.exchange = InternalExchange(Host(SilentLog()), handlers, SilentLog())
+        self.exchange = InternalExchange(SerialExecutor(SilentLog()), handlers, SilentLog())
 
     def ask(self, body: bytes, **headers: str) -> HttpResponse:
         return self.exchange(HttpRequest("POST", INTERNAL_PATH, headers=headers, body=body))
@@ -63,9 +63,9 @@
         call = codec.encode(OperatorCall("PUT", "", LONG))
         plain = self.ask(call)
         self.assertEqual(codec.decode(plain.body), OperatorReply(200, LONG))
-        packed = self.ask(call, **{"accept-encoding": "deflate"})
-        self.assertEqual(packed.headers["Content-Encoding"], "deflate")
-        self.assertEqual(codec.decode(zlib.decompress(packed.body)), OperatorReply(200, LONG))
+        compressed = self.ask(call, **{"accept-encoding": "deflate"})
+        self.assertEqual(compressed.headers["Content-Encoding"], "deflate")
+        self.assertEqual(codec.decode(zlib.decompress(compressed.body)), OperatorReply(200, LONG))
 
     def test_a_body_that_can_not_be_unpacked_is_malformed(self) -> None:
         call = codec.encode(OperatorCall("PUT", "", LONG))
@@ -76,14 +76,14 @@
     """Two processes' transports on loopback."""
 
     def setUp(self) -> None:
-        self.host = Host(LOG)
-        self.host.start()
-        self.addCleanup(self.host.stop)
+        self.executor = SerialExecutor(LOG)
+        self.executor.start()
+        self.addCleanup(self.executor.stop)
 
     def transport(self) -> Transport:
         handlers = Handlers()
         handlers.on_call(OperatorCall, lambda call, reply: reply(OperatorReply(200, call.body)))
-        transport = Transport(self.host, handlers, LOG)
+        transport = Transport(self.executor, handlers, LOG)
         transport.bind(LOOPBACK, (0, 0))
         transport.start()
         self.addCleanup(transport.stop)
@@ -107,8 +107,8 @@
         self.assertLess(max(first_answer, second_request, second_answer), len(LONG) // 5)
 
     def ask(self, client: Transport, server: Transport) -> Struct | None:
-        reply = Box[Struct | None]()
-        client.call(server.address, OperatorCall("PATCH", "7", LONG), PATIENCE, reply.put)
+        reply = ResultBox[Struct | None]()
+        client.call(server.address, OperatorCall("PATCH", "7", LONG), WAIT_SECONDS, reply.put)
         return reply.take()
 
     def test_a_process_of_an_earlier_version_gets_nothing_deflated(self) -> None:
--- a/tests/system/test_runtime.py
+++ b/tests/system/test_runtime.py
@@ -13,22 +13,22 @@
 from pathlib import Path
 from unittest import mock
 
-from pipitledge.runtime.answers import Answer
-from pipitledge.runtime.call_threads import CallLimits, CallOutcome, CallThreads, PendingCall
+from pipitledge.runtime.call_threads import CallLimits, CallOutcome, CallThreadPool, PendingCall
 from pipitledge.runtime.exchanges import INTERNAL_PATH
+from pipitledge.runtime.executor import SerialExecutor
+from pipitledge.runtime.future import Future
 from pipitledge.runtime.handlers import Handlers, Reply
-from pipitledge.runtime.host import Host
-from pipitledge.runtime.http_calls import CallResult, HttpCalls, OutgoingCall
-from pipitledge.runtime.ports import WorkerAnswer
+from pipitledge.runtime.http_client import CallResult, HttpClient, OutgoingCall
+from pipitledge.runtime.ports import WorkerResponse
 from pipitledge.runtime.process_signals import SignalLoop
 from pipitledge.runtime.settings import Settings, SettingsProblem, parse
-from pipitledge.runtime.settings_watch import SettingsWatch
-from pipitledge.runtime.timers import COMPACT_ABOVE, TimerQueue
+from pipitledge.runtime.settings_watcher import SettingsWatcher
+from pipitledge.runtime.timers import MAX_CANCELLED, TimerQueue
 from pipitledge.runtime.transport import NoFreePortError, Transport
-from pipitledge.runtime.worker_calls import HttpWorkerCalls
+from pipitledge.runtime.worker_client import HttpWorkerClient
 from pipitledge.wire import codec
 from pipitledge.wire.messages import EpochQuery, EpochReply, StatusReply, StatusRequest
-from tests.system.runtime_case import LOG, LOOPBACK, PATIENCE, Box, HttpServerCase, eventually
+from tests.system.runtime_case import LOG, LOOPBACK, WAIT_SECONDS, HttpServerCase, ResultBox, eventually
 
 ANY_PORT = (0, 0)
 
@@ -51,23 +51,23 @@
 class TimersTest(unittest.TestCase):
     def setUp(self) -> None:
         self.time = FakeTime()
-        self.host = Host(LOG, self.time)
+        self.executor = SerialExecutor(LOG, self.time)
         self.ran: list[str] = []
 
     def at(self, when: float, name: str) -> Callable[[], None]:
-        return self.host.at(when, lambda: self.ran.append(name)).cancel
+        return self.executor.at(when, lambda: self.ran.append(name)).cancel
 
     def test_timers_run_in_the_order_of_their_times_once_due(self) -> None:
         self.at(103.0, "third")
         self.at(101.0, "first")
         self.at(101.0, "second")
-        self.host.run_due()
+        self.executor.run_due()
         self.assertEqual(self.ran, [])
         self.time.seconds = 102.0
-        self.host.run_due()
+        self.executor.run_due()
         self.assertEqual(self.ran, ["first", "second"])
         self.time.seconds = 103.0
-        self.host.run_due()
+        self.executor.run_due()
         self.assertEqual(self.ran, ["first", "second", "third"])
 
     def test_a_cancelled_timer_does_not_run(self) -> None:
@@ -76,75 +76,75 @@
         cancel()
         cancel()
         self.time.seconds = 101.0
-        self.host.run_due()
+        self.executor.run_due()
         self.assertEqual(self.ran, ["kept"])
 
     def test_a_timer_cancelled_by_one_due_at_the_same_time_does_not_run(self) -> None:
-        self.host.at(101.0, lambda: later.cancel())
-        later = self.host.at(101.0, lambda: self.ran.append("later"))
+        self.executor.at(101.0, lambda: later.cancel())
+        later = self.executor.at(101.0, lambda: self.ran.append("later"))
         self.time.seconds = 101.0
-        self.host.run_due()
+        self.executor.run_due()
         self.assertEqual(self.ran, [])
 
     def test_cancelled_timers_do_not_fill_the_heap(self) -> None:
         queue = TimerQueue(self.time)
         kept = queue.add(500.0, lambda: None)
-        for _ in range(10 * COMPACT_ABOVE):
+        for _ in range(10 * MAX_CANCELLED):
             queue.add(200.0, lambda: None).cancel()
-        self.assertLessEqual(len(queue), COMPACT_ABOVE + 2)
-        self.assertTrue(kept.live)
+        self.assertLessEqual(len(queue), MAX_CANCELLED + 2)
+        self.assertTrue(kept.pending)
 
     def test_the_thread_takes_up_a_timer_that_comes_before_the_one_it_waits_for(self) -> None:
-        host = Host(LOG)
-        host.start()
-        self.addCleanup(host.stop)
-        done = Box[str]()
-        host.at(host.now() + 3600.0, lambda: done.put("late"))
-        host.at(host.now(), lambda: done.put("early"))
+        executor = SerialExecutor(LOG)
+        executor.start()
+        self.addCleanup(executor.stop)
+        done = ResultBox[str]()
+        executor.at(executor.now() + 3600.0, lambda: done.put("late"))
+        executor.at(executor.now(), lambda: done.put("early"))
         self.assertEqual(done.take(), "early")
 
 
 class HostTest(unittest.TestCase):
     def test_an_exception_is_counted_and_the_next_callback_runs(self) -> None:
-        host = Host(LOG)
+        executor = SerialExecutor(LOG)
         ran: list[str] = []
-        self.assertFalse(host.run(lambda: ran.remove("absent"), "broken step"))
-        self.assertTrue(host.run(lambda: ran.append("next"), "sound step"))
-        self.assertEqual(host.failures, 1)
+        self.assertFalse(executor.run(lambda: ran.remove("absent"), "broken step"))
+        self.assertTrue(executor.run(lambda: ran.append("next"), "sound step"))
+        self.assertEqual(executor.failures, 1)
         self.assertEqual(ran, ["next"])
 
     def test_only_the_first_answer_counts(self) -> None:
-        answer = Answer[str]()
-        answer.give("first")
-        answer.give("second")
-        self.assertEqual(answer.wait(PATIENCE), "first")
+        answer = Future[str]()
+        answer.set_result("first")
+        answer.set_result("second")
+        self.assertEqual(answer.wait(WAIT_SECONDS), "first")
 
 
 class TransportCase(unittest.TestCase):
     """Two processes' transports on loopback."""
 
     def setUp(self) -> None:
-        self.host = Host(LOG)
-        self.host.start()
-        self.addCleanup(self.host.stop)
+        self.executor = SerialExecutor(LOG)
+        self.executor.start()
+        self.addCleanup(self.executor.stop)
         self.handlers = Handlers()
         self.server = self.started(self.handlers)
         self.client = self.started(Handlers())
 
     def started(self, handlers: Handlers) -> Transport:
-        transport = Transport(self.host, handlers, LOG)
+        transport = Transport(self.executor, handlers, LOG)
         transport.bind(LOOPBACK, ANY_PORT)
         transport.start()
         self.addCleanup(transport.stop)
         return transport
 
     def call(self, address: str, request: EpochQuery | StatusRequest) -> object:
-        box = Box[object]()
-        self.client.call(address, request, PATIENCE, box.put)
+        box = ResultBox[object]()
+        self.client.call(address, request, WAIT_SECONDS, box.put)
         return box.take()
 
     def post(self, body: bytes, method: str = "POST", path: str = INTERNAL_PATH) -> int:
-        connection = http.client.HTTPConnection(self.server.address, timeout=PATIENCE)
+        connection = http.client.HTTPConnection(self.server.address, timeout=WAIT_SECONDS)
         self.addCleanup(connection.close)
         connection.request(method, path, body)
         return connection.getresponse().status
@@ -156,13 +156,13 @@
         self.assertEqual(self.call(self.server.address, EpochQuery("a")), EpochReply("a", promised=7))
 
     def test_a_call_answered_later_is_answered(self) -> None:
-        waiting = Box[Reply]()
+        waiting = ResultBox[Reply]()
         self.handlers.on_call(EpochQuery, lambda query, reply: waiting.put(reply))
-        box = Box[object]()
-        self.client.call(self.server.address, EpochQuery("a"), PATIENCE, box.put)
+        box = ResultBox[object]()
+        self.client.call(self.server.address, EpochQuery("a"), WAIT_SECONDS, box.put)
         reply = waiting.take()
         self.assertTrue(box.empty())
-        self.host.run(lambda: reply(EpochReply("b")), "test")
+        self.executor.run(lambda: reply(EpochReply("b")), "test")
         self.assertEqual(box.take(), EpochReply("b"))
 
     def test_a_dead_port_gives_none(self) -> None:
@@ -177,7 +177,7 @@
     def test_a_handler_that_raises_gives_none_at_once(self) -> None:
         self.handlers.on_call(EpochQuery, lambda query, reply: [][0])
         self.assertIsNone(self.call(self.server.address, EpochQuery("a")))
-        self.assertEqual(self.host.failures, 1)
+        self.assertEqual(self.executor.failures, 1)
 
     def test_what_is_no_message_gets_a_clear_status(self) -> None:
         self.assertEqual(self.post(b"not a message"), 400)
@@ -194,14 +194,14 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.bind((LOOPBACK, 0))
             port = other.getsockname()[1]
-            transport = Transport(self.host, Handlers(), LOG)
+            transport = Transport(self.executor, Handlers(), LOG)
             with self.assertRaises(NoFreePortError):
                 transport.bind(LOOPBACK, (port, port))
 
 
 class DatagramTest(TransportCase):
     def test_a_malformed_datagram_is_dropped_and_counted(self) -> None:
-        box = Box[object]()
+        box = ResultBox[object]()
         self.handlers.on_datagram(EpochQuery, box.put)
         ip, _, port = self.server.address.rpartition(":")
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
@@ -218,23 +218,23 @@
 
 class CallThreadsTest(unittest.TestCase):
     def setUp(self) -> None:
-        limits = CallLimits(threads=3, per_address=2, per_suspect=1, all_suspects=1, waiting=1)
-        self.threads = CallThreads("test", limits)
+        limits = CallLimits(threads=3, per_address=2, per_suspect=1, total_suspect=1, waiting=1)
+        self.threads = CallThreadPool("test", limits)
         self.addCleanup(self.threads.close)
         self.release = threading.Event()
         self.addCleanup(self.release.set)
 
-    def submit(self, address: str, perform: Callable[[], CallOutcome], wanted: bool = True) -> bool:
-        return self.threads.submit(PendingCall(address, perform, lambda: wanted))
+    def submit(self, address: str, perform: Callable[[], CallOutcome], is_awaited: bool = True) -> bool:
+        return self.threads.submit(PendingCall(address, perform, lambda: is_awaited))
 
     def stuck(self, outcome: CallOutcome = CallOutcome.UNREACHABLE) -> Callable[[], CallOutcome]:
         def perform() -> CallOutcome:
-            self.release.wait(PATIENCE)
+            self.release.wait(WAIT_SECONDS)
             return outcome
 
         return perform
 
-    def marking(self, box: Box[str], outcome: CallOutcome = CallOutcome.REACHED) -> Callable[[], CallOutcome]:
+    def marking(self, box: ResultBox[str], outcome: CallOutcome = CallOutcome.REACHED) -> Callable[[], CallOutcome]:
         def perform() -> CallOutcome:
             box.put("made")
             return outcome
@@ -243,7 +243,7 @@
 
     def test_a_peer_that_is_stuck_does_not_hold_up_calls_to_others(self) -> None:
         self.assertEqual([self.submit("stuck", self.stuck()) for _ in range(4)], [True, True, True, False])
-        box = Box[str]()
+        box = ResultBox[str]()
         self.assertTrue(self.submit("sound", self.marking(box)))
         self.assertEqual(box.take(), "made")
 
@@ -255,19 +255,19 @@
         def start_slowly(thread: threading.Thread) -> None:
             if thread.name.startswith("test"):
                 starting.set()
-                over.append(self.release.wait(PATIENCE))
+                over.append(self.release.wait(WAIT_SECONDS))
             start(thread)
 
-        box = Box[str]()
+        box = ResultBox[str]()
         with mock.patch.object(threading.Thread, "start", start_slowly):
             self.submit("sound", self.marking(box))
-            self.assertTrue(starting.wait(PATIENCE))
+            self.assertTrue(starting.wait(WAIT_SECONDS))
             self.assertEqual(over, [], "the start is still going on")
             self.release.set()
             self.assertEqual(box.take(), "made")
 
     def test_calls_kept_back_are_made_once_there_is_room(self) -> None:
-        box = Box[str]()
+        box = ResultBox[str]()
         for _ in range(2):
             self.submit("slow", self.stuck(CallOutcome.REACHED))
         self.assertTrue(self.submit("slow", self.marking(box)))
@@ -278,7 +278,7 @@
     def suspect(self, address: str) -> None:
         """Have a call find `address` unreachable, and wait until that is noted."""
         self.submit(address, lambda: CallOutcome.UNREACHABLE)
-        eventually(lambda: self.threads.suspects(address))
+        eventually(lambda: self.threads.is_suspect(address))
 
     def test_an_unreachable_peer_gets_one_call_at_a_time_and_none_waits(self) -> None:
         self.suspect("silent")
@@ -297,38 +297,38 @@
 
     def test_a_peer_that_is_reached_again_is_no_longer_suspected(self) -> None:
         self.suspect("silent")
-        box = Box[str]()
+        box = ResultBox[str]()
         self.submit("silent", self.marking(box))
         box.take()
-        eventually(lambda: not self.threads.suspects("silent"))
+        eventually(lambda: not self.threads.is_suspect("silent"))
         self.assertTrue(self.submit("silent", self.stuck()))
         self.assertTrue(self.submit("silent", self.stuck()))
 
     def test_a_call_that_nobody_waits_for_any_more_is_not_made(self) -> None:
-        box = Box[str]()
-        after = Box[str]()
-        self.submit("peer", self.marking(box), wanted=False)
+        box = ResultBox[str]()
+        after = ResultBox[str]()
+        self.submit("peer", self.marking(box), is_awaited=False)
         eventually(lambda: not self.threads.busy())
         self.submit("peer", self.marking(after))
         after.take()
         self.assertTrue(box.empty())
 
 
-class HttpCallsCase(unittest.TestCase):
+class HttpClientCase(unittest.TestCase):
     def setUp(self) -> None:
         self.time = FakeTime()
-        self.host = Host(LOG, self.time)
-        self.calls = HttpCalls(self.host, "test")
+        self.executor = SerialExecutor(LOG, self.time)
+        self.calls = HttpClient(self.executor, "test")
         self.addCleanup(self.calls.close)
         self.listener = socket.create_server((LOOPBACK, 0))
-        self.listener.settimeout(PATIENCE)
+        self.listener.settimeout(WAIT_SECONDS)
         self.addCleanup(self.listener.close)
         self.address = f"{LOOPBACK}:{self.listener.getsockname()[1]}"
 
 
-class HttpCallsTest(HttpCallsCase):
-    def post(self, timeout: float) -> Box[CallResult]:
-        box = Box[CallResult]()
+class HttpClientTest(HttpClientCase):
+    def post(self, timeout: float) -> ResultBox[CallResult]:
+        box = ResultBox[CallResult]()
         self.calls.post(OutgoingCall(self.address, "/", b"", timeout), box.put)
         return box
 
@@ -336,10 +336,10 @@
         box = self.post(timeout=5.0)
         connection, _ = self.listener.accept()
         self.time.seconds += 4.9
-        self.host.run_due()
+        self.executor.run_due()
         self.assertTrue(box.empty())
         self.time.seconds += 0.1
-        self.host.run_due()
+        self.executor.run_due()
         self.assertEqual(box.take(), CallResult(reason="timeout"))
         connection.close()
 
@@ -354,12 +354,12 @@
             self.listener.accept()
 
 
-class NamedCallsTest(HttpCallsCase):
+class NamedCallsTest(HttpClientCase):
     """Calls that tell their name, which their answers have to carry."""
 
-    def named(self, call_id: str) -> Box[CallResult]:
-        box = Box[CallResult]()
-        self.calls.post(OutgoingCall(self.address, "/", b"", PATIENCE, call_id=call_id), box.put)
+    def named(self, call_id: str) -> ResultBox[CallResult]:
+        box = ResultBox[CallResult]()
+        self.calls.post(OutgoingCall(self.address, "/", b"", WAIT_SECONDS, call_id=call_id), box.put)
         return box
 
     def answer(self, connection: socket.socket, call_id: str) -> None:
@@ -397,17 +397,17 @@
         self.assertEqual(0, box.take().status)
 
 
-class WorkerCallsTest(HttpServerCase):
-    def post(self, address: str, instance: str) -> WorkerAnswer:
-        calls = HttpWorkerCalls(self.host, address)
+class WorkerClientTest(HttpServerCase):
+    def post(self, address: str, instance: str) -> WorkerResponse:
+        calls = HttpWorkerClient(self.executor, address)
         self.addCleanup(calls.close)
-        box = Box[WorkerAnswer]()
-        calls.post("/pipitledge/hold", b"{}", instance, PATIENCE, box.put)
+        box = ResultBox[WorkerResponse]()
+        calls.post("/pipitledge/hold", b"{}", instance, WAIT_SECONDS, box.put)
         return box.take()
 
     def test_the_intended_life_is_named_and_the_answer_passed_back(self) -> None:
         answer = self.post(f"{LOOPBACK}:{self.server.port}", "i-1")
-        self.assertEqual(answer, WorkerAnswer(200, b"}{"))
+        self.assertEqual(answer, WorkerResponse(200, b"}{"))
         self.assertEqual(self.requests[0].headers["x-expect-instance"], "i-1")
         self.assertEqual(self.requests[0].headers["content-type"], "application/json")
 
@@ -419,17 +419,17 @@
         with socket.socket() as unused:
             unused.bind((LOOPBACK, 0))
             port = unused.getsockname()[1]
-        self.assertEqual(self.post(f"{LOOPBACK}:{port}", "i-1"), WorkerAnswer(0, b"", refused=True))
+        self.assertEqual(self.post(f"{LOOPBACK}:{port}", "i-1"), WorkerResponse(0, b"", refused=True))
 
 
-class SettingsWatchTest(unittest.TestCase):
+class SettingsWatcherTest(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name) / "local.toml"
         self.path.write_text(SETTINGS)
         self.good = self.settings(SETTINGS)
-        self.watch = SettingsWatch(str(self.path), self.good, LOG)
+        self.watch = SettingsWatcher(str(self.path), self.good, LOG)
 
     def settings(self, text: str) -> Settings:
         loaded = parse(text)
@@ -452,7 +452,7 @@
     def test_a_file_that_could_not_be_read_once_is_read_again_though_it_has_not_changed(self) -> None:
         changed = self.settings(SETTINGS.replace("edge-1", "edge-2"))
         answers: list[Settings | SettingsProblem] = [SettingsProblem(str(self.path), "too many open files"), changed]
-        watch = SettingsWatch(str(self.path), self.good, LOG, lambda path: answers.pop(0))
+        watch = SettingsWatcher(str(self.path), self.good, LOG, lambda path: answers.pop(0))
         self.assertIsNone(watch.poll())
         self.assertEqual(watch.poll(), changed)
         self.assertIsNone(watch.poll())
--- a/tests/system/test_settings.py
+++ b/tests/system/test_settings.py
@@ -12,7 +12,7 @@
 from pipitledge.runtime import logs, settings
 from pipitledge.runtime.settings import Bounds, Limits, Settings, SettingsProblem, config_path, load, parse
 
-WHOLE = """
+FULL_SETTINGS = """
 nodeName = "edge-north-2"
 role = "node"
 machineClass = "edge"
@@ -74,7 +74,7 @@
 restore_ms = 350
 """
 
-SHORTEST = """
+MINIMAL_SETTINGS = """
 nodeName = "side-1"
 role = "agent"
 ip = "10.4.0.80"
@@ -96,7 +96,7 @@
         return parsed.reason
 
 
-class Reading(SettingsCase):
+class SettingsReadTest(SettingsCase):
     def test_a_whole_file(self) -> None:
         expected = Settings(
             name="edge-north-2",
@@ -146,18 +146,20 @@
                 restore_ms=350,
             ),
         )
-        self.assertEqual(self.settings(WHOLE), expected)
+        self.assertEqual(self.settings(FULL_SETTINGS), expected)
 
     def test_the_least_there_must_be(self) -> None:
-        shortest = self.settings(SHORTEST)
+        shortest = self.settings(MINIMAL_SETTINGS)
         self.assertEqual((shortest.name, shortest.data_dir, shortest.seeds), ("side-1", "", ()))
         self.assertEqual((shortest.bounds, shortest.bind.control_plane), (Bounds(), ""))
         self.assertFalse(shortest.bootstrap or shortest.counted)
 
     def test_unknown_keys_are_ignored_at_any_depth(self) -> None:
-        extended = WHOLE.replace("[bounds]", "[bounds]\nsomething_new = [1]").replace("[limits]", "[limits]\nx = true")
+        extended = FULL_SETTINGS.replace("[bounds]", "[bounds]\nsomething_new = [1]").replace(
+            "[limits]", "[limits]\nx = true"
+        )
         extended = 'unheardOf = "x"\n' + extended + "\n[a.b.c]\nd = 1\n"
-        self.assertEqual(self.settings(extended), self.settings(WHOLE))
+        self.assertEqual(self.settings(extended), self.settings(FULL_SETTINGS))
 
     def test_empty_keys_count_as_absent(self) -> None:
         empty = (
@@ -165,10 +167,10 @@
             'dataDir = ""\ndiscovery = ""\nheartbeatMs = ""\ncontracts = ""\ncommands = ""\nlimits = ""\nbounds = ""\n'
             '[bindAddrs]\nfrontend = ""\n[faultTolerance]\n'
         )
-        self.assertEqual(self.settings(SHORTEST + empty), self.settings(SHORTEST))
+        self.assertEqual(self.settings(MINIMAL_SETTINGS + empty), self.settings(MINIMAL_SETTINGS))
 
     def test_numbers_of_either_kind(self) -> None:
-        changed = WHOLE.replace("memoryMb = 256", "memoryMb = 256.0").replace("cpuShare = 0.5", "cpuShare = 1")
+        changed = FULL_SETTINGS.replace("memoryMb = 256", "memoryMb = 256.0").replace("cpuShare = 0.5", "cpuShare = 1")
         changed = changed.replace("stop_ms = 250", "stop_ms = 250.5").replace("machines = 2", "machines = 2.0")
         read = self.settings(changed)
         self.assertEqual((read.limits.memory_mb, read.limits.cpu_share), (256, 1.0))
@@ -176,23 +178,23 @@
         self.assertIsInstance(read.limits.memory_mb, int)
 
     def test_a_bound_in_either_spelling(self) -> None:
-        changed = WHOLE.replace("graceS = 7", "grace_s = 8").replace("stop_ms = 250", "stopMs = 260")
+        changed = FULL_SETTINGS.replace("graceS = 7", "grace_s = 8").replace("stop_ms = 250", "stopMs = 260")
         read = self.settings(changed)
         self.assertEqual((read.bounds.grace_s, read.bounds.stop_ms), (8.0, 260.0))
 
     def test_a_bound_that_is_no_figure_leaves_the_default(self) -> None:
-        read = self.settings(WHOLE.replace("graceS = 7", "graceS = true"))
+        read = self.settings(FULL_SETTINGS.replace("graceS = 7", "graceS = true"))
         self.assertEqual(read.bounds.grace_s, Bounds().grace_s)
 
     def test_settings_cannot_be_changed(self) -> None:
-        read = self.settings(WHOLE)
+        read = self.settings(FULL_SETTINGS)
         parts: list[Struct] = [read, read.bounds, read.limits, read.tolerance, read.bind]
         for part in parts:
             with self.assertRaises(AttributeError):
                 setattr(part, part.__struct_fields__[0], None)
 
 
-class Problems(SettingsCase):
+class SettingsProblemTest(SettingsCase):
     def test_wrong_keys_are_named_with_their_place(self) -> None:
         wrong = {
             ("memoryMb = 256", 'memoryMb = "much"'): "limits.memoryMb: value is not int",
@@ -216,33 +218,33 @@
         }
         for (right, instead), reason in wrong.items():
             with self.subTest(reason=reason, instead=instead):
-                self.assertIn(right, WHOLE)
-                self.assertEqual(self.problem(WHOLE.replace(right, instead, 1)), reason)
+                self.assertIn(right, FULL_SETTINGS)
+                self.assertEqual(self.problem(FULL_SETTINGS.replace(right, instead, 1)), reason)
 
     def test_all_wrong_keys_are_named_at_once(self) -> None:
-        reason = self.problem(WHOLE.replace("cores = 2", "cores = 1.5").replace("graceS = 7", 'graceS = "x"'))
+        reason = self.problem(FULL_SETTINGS.replace("cores = 2", "cores = 1.5").replace("graceS = 7", 'graceS = "x"'))
         self.assertEqual(reason, "limits.cores: value is not int; bounds.graceS: value is not a number")
 
     def test_a_table_that_is_none(self) -> None:
-        self.assertIn("limits: ", self.problem(SHORTEST + "limits = 3\n"))
-        self.assertIn("bounds: ", self.problem(SHORTEST + "bounds = [1]\n"))
+        self.assertIn("limits: ", self.problem(MINIMAL_SETTINGS + "limits = 3\n"))
+        self.assertIn("bounds: ", self.problem(MINIMAL_SETTINGS + "bounds = [1]\n"))
 
     def test_any_beginning_of_a_file_raises_nothing(self) -> None:
         problems = 0
-        for length in range(len(WHOLE)):
-            problems += isinstance(parse(WHOLE[:length]), SettingsProblem)
+        for length in range(len(FULL_SETTINGS)):
+            problems += isinstance(parse(FULL_SETTINGS[:length]), SettingsProblem)
         self.assertGreater(problems, 100)
 
     def test_half_a_file_is_named(self) -> None:
-        self.assertIn("is not TOML", self.problem(WHOLE[: WHOLE.index("8044") + 2]))
+        self.assertIn("is not TOML", self.problem(FULL_SETTINGS[: FULL_SETTINGS.index("8044") + 2]))
 
 
-class Files(unittest.TestCase):
+class SettingsFileTest(unittest.TestCase):
     def test_a_file_is_read(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "local.toml"
-            path.write_text(WHOLE)
-            self.assertEqual(load(path), parse(WHOLE))
+            path.write_text(FULL_SETTINGS)
+            self.assertEqual(load(path), parse(FULL_SETTINGS))
 
     def test_a_missing_file(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -263,7 +265,7 @@
         self.assertEqual(config_path({}), settings.DEFAULT_CONFIG_PATH)
 
 
-class Collected(picologging.Handler):
+class CollectingHandler(picologging.Handler):
     """Keeps the lines."""
 
     def __init__(self) -> None:
@@ -274,10 +276,10 @@
         self.lines.append(record.getMessage())
 
 
-class Logs(unittest.TestCase):
+class EventLogTest(unittest.TestCase):
     def setUp(self) -> None:
         self.time = 100.0
-        self.collected = Collected()
+        self.collected = CollectingHandler()
         logger = picologging.Logger("test", picologging.INFO)
         logger.addHandler(self.collected)
         self.log = logs.EventLog(logger, "agent", now=lambda: self.time, wall=lambda: 1700000000.25)
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -26,7 +26,7 @@
 from pipitledge.emulator.soak.record import HUNG_UP, TERMINATED, Finding, Record
 from pipitledge.emulator.soak.run import SoakVerdict, play_seeds
 from pipitledge.runtime.settings import Settings, parse
-from tests.system.runtime_case import PATIENCE
+from tests.system.runtime_case import WAIT_SECONDS
 
 
 class PlanTest(unittest.TestCase):
@@ -240,7 +240,7 @@
         self.assertEqual(os.read(read, 5), b"began")
         killed.kill()
         killed.wait()
-        readable, _, _ = select.select([read], [], [], PATIENCE)
+        readable, _, _ = select.select([read], [], [], WAIT_SECONDS)
         self.assertEqual(readable, [read], "the process is still there")
         self.assertEqual(os.read(read, 1), b"")
 
--- a/tests/system/test_storage.py
+++ b/tests/system/test_storage.py
@@ -11,15 +11,23 @@
 
 from pipitledge.runtime import log_file
 from pipitledge.runtime.disk_writer import (
-    LONGEST_PAUSE_SECONDS,
-    REFUSED_AFTER_SECONDS,
+    MAX_BACKOFF_SECONDS,
+    REPORT_FAILURE_AFTER_SECONDS,
     DiskProblem,
     DiskWriter,
     MemoryDisk,
     open_store,
 )
-from pipitledge.runtime.storage import EPOCHS_NAMES, LOG_NAMES, STATE_NAMES, Recovered, Store, log_limit
-from tests.system.disk_model import Ended, Fate, KeepAll, LoseAll, LoseNamesOnly, ModelDisk, Scatter
+from pipitledge.runtime.storage import EPOCHS_NAMES, LOG_NAMES, STATE_NAMES, RecoveredData, Store, log_limit
+from tests.system.disk_model import (
+    KeepAll,
+    LoseAll,
+    LoseNamesOnly,
+    ModelDisk,
+    PowerLossOutcome,
+    ProcessKilled,
+    RandomOutcome,
+)
 
 FOLDER = "/data"
 KIB = 1024
@@ -27,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class Kept:
+class StoreContent:
     """What a store ought to hold."""
 
     epochs: bytes | None = None
@@ -50,14 +58,14 @@
         else:
             store.write_epochs(self.data[0])
 
-    def after(self, kept: Kept) -> Kept:
+    def after(self, kept: StoreContent) -> StoreContent:
         if self.kind == "append":
             return replace(kept, entries=kept.entries + self.data)
         if self.kind == "replace":
             return replace(kept, snapshot=self.data[0], entries=())
         return replace(kept, epochs=self.data[0])
 
-    def possible_after(self, kept: Kept) -> set[Kept]:
+    def possible_after(self, kept: StoreContent) -> set[StoreContent]:
         """What may be found if the call was cut short."""
         if self.kind != "append":
             return {kept, self.after(kept)}
@@ -92,8 +100,8 @@
     append(b"h" * 40),
 ]
 
-FATES: list[Callable[[], Fate]] = [LoseAll, KeepAll, LoseNamesOnly]
-FATES += [lambda seed=seed: Scatter(seed) for seed in range(6)]  # type: ignore[misc]
+POWER_LOSS_OUTCOMES: list[Callable[[], PowerLossOutcome]] = [LoseAll, KeepAll, LoseNamesOnly]
+POWER_LOSS_OUTCOMES += [lambda seed=seed: RandomOutcome(seed) for seed in range(6)]  # type: ignore[misc]
 
 
 def random_history(seed: int) -> list[Operation]:
@@ -107,12 +115,12 @@
 
 
 @dataclass
-class Machine:
+class ModelMachine:
     """A disk, with what is known to be kept on it."""
 
     disk: ModelDisk = field(default_factory=ModelDisk)
-    kept: Kept = Kept()
-    possible: set[Kept] = field(default_factory=lambda: {Kept()})
+    kept: StoreContent = StoreContent()
+    possible: set[StoreContent] = field(default_factory=lambda: {StoreContent()})
 
     def run(self, history: list[Operation]) -> bool:
         """Open the store and carry the history out; False if the process ended before."""
@@ -124,34 +132,34 @@
                 operation.run(store)
                 self.kept = operation.after(self.kept)
                 self.possible = {self.kept}
-        except Ended:
+        except ProcessKilled:
             return False
         return True
 
 
-def found(recovered: Recovered) -> Kept:
-    return Kept(recovered.epochs, recovered.snapshot, tuple(recovered.entries))
+def found(recovered: RecoveredData) -> StoreContent:
+    return StoreContent(recovered.epochs, recovered.snapshot, tuple(recovered.entries))
 
 
 def operations_of(history: list[Operation]) -> int:
-    machine = Machine()
+    machine = ModelMachine()
     machine.run(history)
     return machine.disk.operations
 
 
-class Crashes(unittest.TestCase):
-    def check_recovery(self, machine: Machine, where: str) -> Store:
+class CrashTest(unittest.TestCase):
+    def check_recovery(self, machine: ModelMachine, where: str) -> Store:
         """Recover, and narrow down what may be found from now on."""
         store = Store(FOLDER, machine.disk)
         recovered = store.open()
         self.assertEqual(recovered.corrupt, "", where)
         self.assertIn(found(recovered), machine.possible, where)
-        self.assertEqual(recovered.fresh, found(recovered) == Kept(), where)
+        self.assertEqual(recovered.fresh, found(recovered) == StoreContent(), where)
         machine.kept = found(recovered)
         machine.possible = {machine.kept}
         return store
 
-    def check_going_on(self, machine: Machine, store: Store, where: str) -> None:
+    def check_going_on(self, machine: ModelMachine, store: Store, where: str) -> None:
         """What is written after a recovery must be kept by the next one."""
         for operation in (append(b"later", b"x" * 600), epochs(b"later promise"), append(b"latest")):
             operation.run(store)
@@ -161,15 +169,15 @@
         self.check_recovery(machine, f"{where}, gone on")
 
     def check_all_crashes(self, history: list[Operation], name: str) -> None:
-        for end_at in range(operations_of(history)):
-            machine = Machine()
-            machine.disk.end_at = end_at
+        for kill_at in range(operations_of(history)):
+            machine = ModelMachine()
+            machine.disk.kill_at = kill_at
             self.assertFalse(machine.run(history), "the process was to end")
-            machine.disk.end_at = -1
-            for number, fate in enumerate(FATES):
-                where = f"{name}: operation {end_at}, fate {number}"
+            machine.disk.kill_at = -1
+            for number, power_loss in enumerate(POWER_LOSS_OUTCOMES):
+                where = f"{name}: operation {kill_at}, fate {number}"
                 crashed = copy.deepcopy(machine)
-                crashed.disk.lose_power(fate())
+                crashed.disk.lose_power(power_loss())
                 store = self.check_recovery(crashed, where)
                 self.check_going_on(crashed, store, where)
 
@@ -182,34 +190,34 @@
 
     def test_a_killed_process_and_a_later_loss_of_power(self) -> None:
         """What a recovery returns lasts, although the killed process had not synced it."""
-        for end_at in range(operations_of(SCRIPT)):
-            machine = Machine()
-            machine.disk.end_at = end_at
+        for kill_at in range(operations_of(SCRIPT)):
+            machine = ModelMachine()
+            machine.disk.kill_at = kill_at
             machine.run(SCRIPT)
-            machine.disk.end_at = -1
-            self.check_recovery(machine, f"killed at {end_at}")
+            machine.disk.kill_at = -1
+            self.check_recovery(machine, f"killed at {kill_at}")
             machine.disk.lose_power(LoseAll())
-            store = self.check_recovery(machine, f"killed at {end_at}, then without power")
-            self.check_going_on(machine, store, f"killed at {end_at}")
+            store = self.check_recovery(machine, f"killed at {kill_at}, then without power")
+            self.check_going_on(machine, store, f"killed at {kill_at}")
 
     def test_a_second_crash_during_recovery(self) -> None:
         second_crashes = 0
-        for end_at in range(0, operations_of(SCRIPT), 3):
-            first = Machine()
-            first.disk.end_at = end_at
+        for kill_at in range(0, operations_of(SCRIPT), 3):
+            first = ModelMachine()
+            first.disk.kill_at = kill_at
             first.run(SCRIPT)
             for seed in range(3):
                 again_at = 0
                 ended = True
                 while ended:
                     machine = copy.deepcopy(first)
-                    machine.disk.lose_power(Scatter(seed))
+                    machine.disk.lose_power(RandomOutcome(seed))
                     machine.disk.operations = 0
-                    machine.disk.end_at = again_at
+                    machine.disk.kill_at = again_at
                     ended = not machine.run([])
-                    machine.disk.end_at = -1
-                    machine.disk.lose_power(Scatter(seed + again_at))
-                    where = f"operation {end_at}, seed {seed}, again at {again_at}"
+                    machine.disk.kill_at = -1
+                    machine.disk.lose_power(RandomOutcome(seed + again_at))
+                    where = f"operation {kill_at}, seed {seed}, again at {again_at}"
                     store = self.check_recovery(machine, where)
                     self.check_going_on(machine, store, where)
                     again_at += 1
@@ -220,7 +228,7 @@
         """A call that fails at any of its operations, and is made again, keeps what it says."""
         for refused_at in range(1, 60):
             for refusals in (1, 3):
-                machine = Machine()
+                machine = ModelMachine()
                 store = Store(FOLDER, machine.disk)
                 store.open()
                 start = machine.disk.operations
@@ -228,20 +236,20 @@
                     self.run_refused(operation, store, machine.disk, start + refused_at, refusals)
                     machine.kept = operation.after(machine.kept)
                 machine.possible = {machine.kept}
-                for fate in FATES:
+                for power_loss in POWER_LOSS_OUTCOMES:
                     crashed = copy.deepcopy(machine)
-                    crashed.disk.lose_power(fate())
+                    crashed.disk.lose_power(power_loss())
                     self.check_recovery(crashed, f"refused at {refused_at}")
 
     def run_refused(self, operation: Operation, store: Store, disk: ModelDisk, refused_at: int, refusals: int) -> None:
-        original = disk._step_or_refuse
+        original = disk._count_or_fail
 
         def step() -> None:
             if disk.operations + 1 == refused_at:
                 disk.refusals = refusals
             original()
 
-        disk._step_or_refuse = step  # type: ignore[method-assign]
+        disk._count_or_fail = step  # type: ignore[method-assign]
         for _ in range(refusals + 1):
             try:
                 operation.run(store)
@@ -250,12 +258,12 @@
                 continue
         else:
             self.fail("refused more often than it was to be")
-        disk._step_or_refuse = original  # type: ignore[method-assign]
+        disk._count_or_fail = original  # type: ignore[method-assign]
 
 
-class Opening(unittest.TestCase):
+class OpenTest(unittest.TestCase):
     def test_a_new_folder_is_fresh_until_something_is_kept(self) -> None:
-        machine = Machine()
+        machine = ModelMachine()
         self.assertTrue(Store(FOLDER, machine.disk).open().fresh)
         store = Store(FOLDER, machine.disk)
         self.assertTrue(store.open().fresh)
@@ -265,21 +273,21 @@
         self.assertEqual(recovered.epochs, b"p")
 
     def test_a_wiped_folder_is_fresh(self) -> None:
-        machine = Machine()
+        machine = ModelMachine()
         machine.run(SCRIPT)
         machine.disk.wipe()
-        self.assertEqual(Store(FOLDER, machine.disk).open(), Recovered(fresh=True))
+        self.assertEqual(Store(FOLDER, machine.disk).open(), RecoveredData(fresh=True))
 
     def test_an_empty_record_is_not_a_missing_one(self) -> None:
-        machine = Machine()
+        machine = ModelMachine()
         machine.run([epochs(b""), snapshot(b"")])
         recovered = Store(FOLDER, machine.disk).open()
         self.assertEqual((recovered.epochs, recovered.snapshot, recovered.fresh), (b"", b"", False))
 
     def test_a_torn_tail_does_not_hide_the_next_entry(self) -> None:
-        machine = Machine()
+        machine = ModelMachine()
         machine.run([append(b"whole")])
-        log = machine.disk.nodes[LOG_NAMES[0]]
+        log = machine.disk.inodes[LOG_NAMES[0]]
         log.durable += log.durable[-20:]
         store = Store(FOLDER, machine.disk)
         self.assertEqual(store.open().entries, [b"whole"])
@@ -289,12 +297,12 @@
 
     def test_entries_behind_a_torn_one_stay_dead(self) -> None:
         """The rest of a batch that was never acknowledged must not follow an entry written over its torn start."""
-        machine = Machine()
+        machine = ModelMachine()
         machine.run([append(b"torn", b"rest")])
-        log = machine.disk.nodes[LOG_NAMES[0]]
+        log = machine.disk.inodes[LOG_NAMES[0]]
         log.durable = log.durable.replace(b"torn", b"t\0\0\0")
         store = Store(FOLDER, machine.disk)
-        self.assertEqual(store.open(), Recovered(fresh=True))
+        self.assertEqual(store.open(), RecoveredData(fresh=True))
         store.append([b"next"])
         self.assertEqual(Store(FOLDER, machine.disk).open().entries, [b"next"])
 
@@ -304,11 +312,11 @@
         self.assertEqual(content, log_file.LogContent(7, [b"x"], log_file.HEADER_BYTES + len(entries[0]), False))
 
     def test_entries_of_an_older_log_in_the_same_file_stay_dead(self) -> None:
-        machine = Machine()
+        machine = ModelMachine()
         machine.run([append(b"old 1"), append(b"old 2")])
-        old_tail = machine.disk.nodes[LOG_NAMES[0]].durable
+        old_tail = machine.disk.inodes[LOG_NAMES[0]].durable
         machine.run([snapshot(b"1"), snapshot(b"2")])
-        log = machine.disk.nodes[LOG_NAMES[0]]
+        log = machine.disk.inodes[LOG_NAMES[0]]
         log.durable += old_tail[len(log.durable) :]  # as if cutting it off had been lost
         recovered = Store(FOLDER, machine.disk).open()
         self.assertEqual((recovered.snapshot, recovered.entries, recovered.corrupt), (b"2", [], ""))
@@ -322,9 +330,9 @@
         self.assertEqual(disk.syncs - before, 1)
 
 
-class Damage(unittest.TestCase):
-    def history_states(self) -> set[Kept]:
-        kept = Kept()
+class DamageTest(unittest.TestCase):
+    def history_states(self) -> set[StoreContent]:
+        kept = StoreContent()
         states = {kept}
         for operation in SCRIPT:
             states |= operation.possible_after(kept)
@@ -333,17 +341,17 @@
 
     def test_no_damaged_byte_is_ever_handed_out(self) -> None:
         """Any one damaged byte leads to a refusal, or to a state that was kept at some time, never to another."""
-        machine = Machine()
+        machine = ModelMachine()
         machine.run(SCRIPT)
         parts = {(state.snapshot, state.entries) for state in self.history_states()}
         promises = {state.epochs for state in self.history_states()}
         refused = 0
-        for name, node in machine.disk.nodes.items():
-            for offset in range(len(node.durable)):
+        for name, inode in machine.disk.inodes.items():
+            for offset in range(len(inode.durable)):
                 damaged = copy.deepcopy(machine.disk)
-                content = bytearray(node.durable)
+                content = bytearray(inode.durable)
                 content[offset] ^= 0x41
-                damaged.nodes[name].durable = bytes(content)
+                damaged.inodes[name].durable = bytes(content)
                 recovered = Store(FOLDER, damaged).open()
                 refused += bool(recovered.corrupt)
                 self.assertFalse(recovered.fresh, f"{name} {offset}")
@@ -352,14 +360,14 @@
                     self.assertIn(recovered.epochs, promises, f"{name} {offset}")
         self.assertGreater(refused, 0)
 
-    def damage(self, history: list[Operation], *places: tuple[str, int]) -> Recovered:
-        machine = Machine()
+    def damage(self, history: list[Operation], *places: tuple[str, int]) -> RecoveredData:
+        machine = ModelMachine()
         machine.run(history)
         for name, offset in places:
-            node = machine.disk.nodes[name]
-            content = bytearray(node.durable)
+            inode = machine.disk.inodes[name]
+            content = bytearray(inode.durable)
             content[offset] ^= 0xFF
-            node.durable = bytes(content)
+            inode.durable = bytes(content)
         return Store(FOLDER, machine.disk).open()
 
     def test_an_entry_that_later_ones_rest_on(self) -> None:
@@ -375,18 +383,18 @@
         self.assertIn("state-0", self.damage(history, (STATE_NAMES[0], 25)).corrupt)
 
     def test_the_newest_snapshot_while_a_newer_one_was_begun(self) -> None:
-        machine = Machine()
+        machine = ModelMachine()
         machine.run([snapshot(b"one"), snapshot(b"two")])
         store = Store(FOLDER, machine.disk)
         store.open()
-        machine.disk.end_at = machine.disk.operations + 3  # the log is reset, and the snapshot not written
-        with self.assertRaises(Ended):
+        machine.disk.kill_at = machine.disk.operations + 3  # the log is reset, and the snapshot not written
+        with self.assertRaises(ProcessKilled):
             store.replace(b"three")
-        machine.disk.end_at = -1
+        machine.disk.kill_at = -1
         machine.disk.lose_power(LoseAll())
         self.assertEqual(Store(FOLDER, machine.disk).open().snapshot, b"two")
-        machine.disk.nodes[STATE_NAMES[0]].durable = b"nothing"
-        self.assertEqual(Store(FOLDER, machine.disk).open(), Recovered(corrupt="log-1: no valid header"))
+        machine.disk.inodes[STATE_NAMES[0]].durable = b"nothing"
+        self.assertEqual(Store(FOLDER, machine.disk).open(), RecoveredData(corrupt="log-1: no valid header"))
 
     def test_both_snapshots(self) -> None:
         history = [snapshot(b"one"), snapshot(b"two")]
@@ -402,34 +410,34 @@
     def test_a_damaged_folder_can_be_formatted(self) -> None:
         """At any crash in between it is still refused, or fresh; afterwards it keeps what it is told."""
         history = [snapshot(b"one"), append(b"x"), epochs(b"p"), append(b"y")]
-        base = Machine()
+        base = ModelMachine()
         base.run(history)
-        base.disk.nodes[LOG_NAMES[1]].durable = b"nothing"
+        base.disk.inodes[LOG_NAMES[1]].durable = b"nothing"
         crashes = 0
         ended = True
         while ended:
             machine = copy.deepcopy(base)
             store = Store(FOLDER, machine.disk)
             self.assertNotEqual(store.open().corrupt, "")
-            machine.disk.end_at = machine.disk.operations + crashes
+            machine.disk.kill_at = machine.disk.operations + crashes
             try:
                 store.format()
                 ended = False
-            except Ended:
+            except ProcessKilled:
                 crashes += 1
-            machine.disk.end_at = -1
-            machine.disk.lose_power(Scatter(crashes))
+            machine.disk.kill_at = -1
+            machine.disk.lose_power(RandomOutcome(crashes))
             store = Store(FOLDER, machine.disk)
             recovered = store.open()
             self.assertTrue(recovered.corrupt or recovered.fresh)
             self.assertTrue(ended or recovered.fresh)
         store.append([b"new"])
         machine.disk.lose_power(LoseAll())
-        self.assertEqual(Store(FOLDER, machine.disk).open(), Recovered(entries=[b"new"]))
+        self.assertEqual(Store(FOLDER, machine.disk).open(), RecoveredData(entries=[b"new"]))
         self.assertGreater(crashes, 8)
 
 
-class Writer(unittest.TestCase):
+class DiskWriterTest(unittest.TestCase):
     def setUp(self) -> None:
         self.disk = ModelDisk()
         self.store = Store(FOLDER, self.disk)
@@ -480,7 +488,7 @@
         self.writer.drain()
         self.assertEqual(self.calls, ["append 1", "epochs", "append 2", "replace", "append 3"])
         self.disk.lose_power(LoseAll())
-        self.assertEqual(Store(FOLDER, self.disk).open(), Recovered(b"p", b"s", [b"3"]))
+        self.assertEqual(Store(FOLDER, self.disk).open(), RecoveredData(b"p", b"s", [b"3"]))
 
     def test_the_last_of_several_holds(self) -> None:
         for number in (b"1", b"2"):
@@ -489,10 +497,10 @@
             self.writer.replace(number, self.note("replace"))
         self.writer.drain()
         self.assertEqual(self.calls, ["epochs", "epochs", "replace", "replace"])
-        self.assertEqual(Store(FOLDER, self.disk).open(), Recovered(b"2", b"4"))
+        self.assertEqual(Store(FOLDER, self.disk).open(), RecoveredData(b"2", b"4"))
 
     def test_a_disk_that_refuses_for_a_while(self) -> None:
-        self.heals_at = REFUSED_AFTER_SECONDS / 2
+        self.heals_at = REPORT_FAILURE_AFTER_SECONDS / 2
         self.disk.refusals = 1_000_000
         self.writer.append(b"1", self.note("one"))
         self.writer.drain()
@@ -501,7 +509,7 @@
         self.assertEqual(Store(FOLDER, self.disk).open().entries, [b"1"])
 
     def test_a_disk_that_refuses_for_long_is_reported_once(self) -> None:
-        self.heals_at = REFUSED_AFTER_SECONDS * 4
+        self.heals_at = REPORT_FAILURE_AFTER_SECONDS * 4
         self.disk.refusals = 1_000_000
         self.writer.write_epochs(b"p", self.note("epochs"))
         self.writer.drain()
@@ -562,7 +570,7 @@
             store.close()
             self.assertEqual(self.calls, ["append", "epochs", "replace", "last"])
             again = Store(f"{folder}/not/there/yet")
-            self.assertEqual(again.open(), Recovered(b"p", b"s", [b"2"]))
+            self.assertEqual(again.open(), RecoveredData(b"p", b"s", [b"2"]))
             again.close()
 
     def test_opening_waits_for_a_disk_that_refuses(self) -> None:
@@ -570,14 +578,14 @@
         self.disk.refusals = 1_000_000
         self.heals_at = 2.0
         recovered = open_store(Store(FOLDER, self.disk), 10.0, self.pause, lambda: self.time)
-        self.assertEqual(recovered, Recovered(entries=[b"1"]))
+        self.assertEqual(recovered, RecoveredData(entries=[b"1"]))
 
     def test_opening_gives_up_in_the_end(self) -> None:
         self.disk.refusals = 1_000_000
         self.heals_at = 100.0
         problem = open_store(Store(FOLDER, self.disk), 3.0, self.pause, lambda: self.time)
         self.assertIsInstance(problem, DiskProblem)
-        self.assertLessEqual(self.time, 3.0 + LONGEST_PAUSE_SECONDS)
+        self.assertLessEqual(self.time, 3.0 + MAX_BACKOFF_SECONDS)
 
     def test_a_machine_without_a_disk(self) -> None:
         disk = MemoryDisk(lambda action: action())
--- a/tests/system/test_thread_starter.py
+++ b/tests/system/test_thread_starter.py
@@ -7,7 +7,7 @@
 
 from pipitledge.runtime.thread_starter import ThreadStarter
 
-PATIENCE_SECONDS = 20.0  # a bound for broken code, never waited for
+WAIT_SECONDS = 20.0  # a bound for broken code, never waited for
 
 
 class FailsOnce(threading.Thread):
@@ -29,8 +29,8 @@
         ran = [threading.Event(), threading.Event()]
         starter.start(FailsOnce(target=ran[0].set, daemon=True))
         starter.start(threading.Thread(target=ran[1].set, daemon=True))
-        self.assertTrue(ran[1].wait(PATIENCE_SECONDS))
-        self.assertTrue(ran[0].wait(PATIENCE_SECONDS))
+        self.assertTrue(ran[1].wait(WAIT_SECONDS))
+        self.assertTrue(ran[0].wait(WAIT_SECONDS))
 
 
 if __name__ == "__main__":
