--- a/pipitledge/__init__.py
+++ b/pipitledge/__init__.py
@@ -1,6 +1,6 @@
-"""pipitledge: a cluster scheduler for jobs, and the decisions of a dispatcher that pushes jobs to workers.
+"""pipitledge: a cluster scheduler for jobs, and the decision policy of a dispatcher that pushes jobs to workers.
 
-`Policy` and `Settings` are loaded when they are first asked for: the scheduler's programs need neither.
+`Policy` and `Settings` are imported on first access, because the scheduler's programs need neither.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """Load a name of the library when it is first asked for."""
+    """Import `Policy` or `Settings` on first access."""
     if name == "Policy":
         from pipitledge.decision.policy import Policy
 
--- a/pipitledge/runtime/__init__.py
+++ b/pipitledge/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every program of the system stands on: settings, logs, clocks, HTTP, datagrams, disk."""
+"""Services shared by all programs of the system: settings, logs, timers, HTTP, datagrams and disk storage."""
--- a/pipitledge/runtime/call_threads.py
+++ b/pipitledge/runtime/call_threads.py
@@ -1,4 +1,4 @@
-"""Threads for calls that block, so bounded that a peer which does not answer can't hold up calls to others."""
+"""A thread pool for blocking calls, with limits per peer so that an unresponsive peer can't block calls to others."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 from pipitledge.runtime.thread_starter import starter
 
-IDLE_SECONDS = 30.0  # after which a thread without work ends
+IDLE_SECONDS = 30.0  # a thread that gets no call for this long ends
 
 
 class CallOutcome(enum.Enum):
-    """What a call tells of its peer."""
+    """Whether a call reached the machine of its peer."""
 
-    REACHED = "reached"  # a connection was made, or refused at once: the peer's machine is there
-    UNREACHABLE = "unreachable"  # no connection came about in time
+    REACHED = "reached"  # a connection was accepted or actively refused, so the peer's machine is up
+    UNREACHABLE = "unreachable"  # the connection attempt timed out
 
 
 class CallLimits(Struct, frozen=True):
-    """How many calls may be under way."""
+    """Limits on the number of calls in progress and waiting."""
 
     threads: int = 40
     per_address: int = 12
-    per_suspect: int = 3  # at an address that was unreachable at the last call
-    total_suspect: int = 12  # at such addresses together
-    waiting: int = 256  # more than `per_address`, kept back for an address
+    per_suspect: int = 3  # for an address that was unreachable at the last call
+    total_suspect: int = 12  # for all unreachable addresses together
+    waiting: int = 256  # calls queued per address beyond `per_address`
 
 
 class PendingCall(Struct, eq=False):
-    """A call to be made; `perform` blocks, `wanted` tells whether anybody still waits for it."""
+    """A call to make. `perform` blocks; the call is skipped if `is_awaited` returns False when its turn comes."""
 
     address: str
     perform: Callable[[], CallOutcome]
@@ -40,7 +40,7 @@
 
 
 class _PeerState:
-    """What is under way at one address."""
+    """The calls in progress and waiting for one address."""
 
     __slots__ = ("running", "suspect", "waiting")
 
@@ -51,10 +51,10 @@
 
 
 class CallThreadPool:
-    """Runs calls in the order of their arrival at each address, on daemon threads started as needed."""
+    """Runs calls on daemon threads that are started as needed; calls to one address start in order of submission."""
 
     def __init__(self, name: str, limits: CallLimits) -> None:
-        """Name the threads `name`."""
+        """Create the pool without threads; `name` is the prefix of the thread names."""
         self._name = name
         self._limits = limits
         self._changed = threading.Condition(threading.Lock())
@@ -66,7 +66,7 @@
         self._closed = False
 
     def submit(self, call: PendingCall) -> bool:
-        """Have the call made; False if its address has too many under way, and it never will be."""
+        """Accept a call for execution; return False if it is rejected because its address has too many calls."""
         with self._changed:
             peer = self._peers.setdefault(call.address, _PeerState())
             if self._may_run(peer):
@@ -78,30 +78,30 @@
             return True
 
     def busy(self) -> int:
-        """How many calls are under way."""
+        """Return the number of calls accepted for execution and not finished, without those waiting for their address."""
         with self._changed:
             return sum(peer.running for peer in self._peers.values())
 
     def is_suspect(self, address: str) -> bool:
-        """Whether `address` was unreachable at the last call."""
+        """Return whether `address` was unreachable at the last call."""
         with self._changed:
             peer = self._peers.get(address)
             return peer is not None and peer.suspect
 
     def close(self) -> None:
-        """Let idle threads end."""
+        """Make idle threads end; calls in progress are not interrupted."""
         with self._changed:
             self._closed = True
             self._changed.notify_all()
 
     def _may_run(self, peer: _PeerState) -> bool:
-        """Whether one more call may be under way at that address."""
+        """Return whether the limits allow one more call to this peer."""
         if not peer.suspect:
             return peer.running < self._limits.per_address
         return peer.running < self._limits.per_suspect and self._suspect_running < self._limits.total_suspect
 
     def _dispatch(self, peer: _PeerState, call: PendingCall) -> None:
-        """Count the call as under way, and see to it that a thread takes it."""
+        """Count the call as running, and wake or start a thread for it."""
         peer.running += 1
         self._suspect_running += peer.suspect
         self._ready.append(call)
@@ -110,10 +110,10 @@
         elif self._threads < self._limits.threads:
             self._threads += 1
             thread = threading.Thread(target=self._run_calls, name=f"{self._name}-{self._threads}", daemon=True)
-            starter.start(thread)  # callers hold the lock of all logic
+            starter.start(thread)  # not thread.start(), which may block: callers hold the executor's lock
 
     def _run_calls(self) -> None:
-        """Make calls until none comes for a while."""
+        """Run calls until none arrives for `IDLE_SECONDS`; the main loop of each thread."""
         while (call := self._next_call()) is not None:
             outcome = CallOutcome.REACHED
             try:
@@ -123,7 +123,7 @@
                 self._on_finished(call, outcome)
 
     def _next_call(self) -> PendingCall | None:
-        """The next call; None if the thread should end."""
+        """Wait for the next call; return None if the thread should end."""
         with self._changed:
             self._idle += 1
             woken = True
@@ -136,7 +136,7 @@
             return None
 
     def _on_finished(self, call: PendingCall, outcome: CallOutcome) -> None:
-        """Take the call off the counts, and let the next one at that address go."""
+        """Update the counts after a call, and dispatch calls that wait for the same address."""
         with self._changed:
             peer = self._peers[call.address]
             peer.running -= 1
@@ -148,7 +148,7 @@
                 del self._peers[call.address]
 
     def _set_suspect(self, peer: _PeerState, suspect: bool) -> None:
-        """Note whether the peer is suspected of being unreachable."""
+        """Record whether the peer is suspected to be unreachable."""
         if suspect == peer.suspect:
             return
         peer.suspect = suspect
--- a/pipitledge/runtime/disk_writer.py
+++ b/pipitledge/runtime/disk_writer.py
@@ -1,8 +1,8 @@
-"""The `Disk` of a counted node: a thread of its own writes to the store, so that logic never waits for the disk.
+"""The `Disk` of a voting member: a dedicated thread writes to the store, so that the logic never waits for the disk.
 
-Calls are queued. The thread takes all that is queued at a time, and writes appends that follow each other with one
-sync (group commit). Order is kept. What the disk refuses is tried again until it succeeds; callbacks wait for that, so
-nothing is acknowledged falsely.
+Operations are queued. The thread takes the whole queue at once and writes consecutive appends with a single sync
+(group commit). Operations keep their order. A failed write is retried until it succeeds, and its callback is only
+called then, so that no data is acknowledged before it is durable.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class DiskProblem(Struct, frozen=True):
-    """A disk that has refused for long."""
+    """A disk operation that fails: the name of the operation and the error."""
 
     step: str
     reason: str
@@ -46,14 +46,14 @@
 
 
 class _Batch(Struct, frozen=True):
-    """Operations carried out as one; all but appends stand alone."""
+    """Operations written together; only consecutive appends share a batch."""
 
     step: _OperationKind
     operations: list[_Operation]
 
 
 class DiskWriter:
-    """Queues what is to be kept, and writes it on its own thread."""
+    """Queues disk operations and carries them out on its own thread."""
 
     def __init__(
         self,
@@ -64,10 +64,11 @@
         pause: Callable[[float], None] = time.sleep,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Write to `store`, which is open.
+        """Write to `store`, which must be open.
 
-        `deliver` is handed what is to be called; it may be called from any thread. `on_refused` is delivered once each
-        time that the disk refuses for REFUSED_AFTER_SECONDS; the writer goes on trying.
+        `deliver` runs a callback and may be called from any thread. `on_refused` is delivered once for each series of
+        failures that lasts REPORT_FAILURE_AFTER_SECONDS; the writer keeps retrying. `disk_mb` is the size of the disk
+        (0: unknown).
         """
         self._store = store
         self._deliver = deliver
@@ -83,11 +84,11 @@
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the writer thread."""
         self._thread.start()
 
     def close(self, timeout: float) -> None:
-        """Let the thread write what is queued, and end; wait for that no longer than `timeout` seconds."""
+        """Let the thread write the queued operations and end; wait at most `timeout` seconds for that."""
         with self._changed:
             self._closing = True
             self._changed.notify()
@@ -95,25 +96,25 @@
             self._thread.join(timeout)
 
     def write_epochs(self, record: bytes, on_durable: DurableCallback) -> None:
-        """Replace the small record of promises."""
+        """Queue a replacement of the promise record."""
         self._enqueue(_Operation(_OperationKind.EPOCHS, record, on_durable))
 
     def append(self, record: bytes, on_durable: DurableCallback) -> None:
-        """Add one entry to the log."""
+        """Queue one log entry."""
         self._log_bytes += ENTRY_HEADER_BYTES + len(record)
         self._enqueue(_Operation(_OperationKind.APPEND, record, on_durable))
 
     def replace(self, snapshot: bytes, on_durable: DurableCallback) -> None:
-        """Replace all state and empty the log, atomically."""
+        """Queue an atomic replacement of all state by `snapshot`, which empties the log."""
         self._log_bytes = 0
         self._enqueue(_Operation(_OperationKind.REPLACE, snapshot, on_durable))
 
     def wants_snapshot(self) -> bool:
-        """Whether the log, with what is queued for it, has grown beyond its limit."""
+        """Return whether the log, including queued entries, has grown beyond its limit."""
         return self._log_bytes > self._log_limit
 
     def drain(self) -> None:
-        """Write all that is queued, on the calling thread."""
+        """Carry out all queued operations on the calling thread."""
         for batch in _batches(self._take_queued()):
             self._write_until_durable(batch)
             for operation in batch.operations:
@@ -136,7 +137,7 @@
             self.drain()
 
     def _wait_for_work(self) -> bool:
-        """Wait until something is queued; False if nothing is, and nothing will be."""
+        """Wait until an operation is queued; return False once the writer is closing and the queue is empty."""
         with self._changed:
             while not self._queue and not self._closing:
                 self._changed.wait()
@@ -159,7 +160,7 @@
             self._log.info("disk_accepts", step=batch.step.value, seconds=self._now() - refused_since)
 
     def _try_write(self, batch: _Batch) -> DiskProblem | None:
-        """Carry the group out; why not, if the disk refuses."""
+        """Write the batch; return the problem if the disk reports an error."""
         try:
             self._write(batch)
         except OSError as error:
@@ -176,26 +177,26 @@
 
 
 class MemoryDisk:
-    """Stands in for the disk of a counted node that has none: everything is lost with the process."""
+    """The `Disk` of a voting member without a data folder: all data is lost when the process ends."""
 
     def __init__(self, deliver: DeliverCallback) -> None:
-        """Hand all callbacks to `deliver`."""
+        """Pass every callback to `deliver`, as if the data were durable."""
         self._deliver = deliver
 
     def write_epochs(self, record: bytes, on_durable: DurableCallback) -> None:
-        """Keep nothing."""
+        """Discard the record and report it as durable."""
         self._deliver(on_durable)
 
     def append(self, record: bytes, on_durable: DurableCallback) -> None:
-        """Keep nothing."""
+        """Discard the entry and report it as durable."""
         self._deliver(on_durable)
 
     def replace(self, snapshot: bytes, on_durable: DurableCallback) -> None:
-        """Keep nothing."""
+        """Discard the snapshot and report it as durable."""
         self._deliver(on_durable)
 
     def wants_snapshot(self) -> bool:
-        """Never: there is no log."""
+        """Return False: there is no log."""
         return False
 
 
@@ -205,7 +206,7 @@
     pause: Callable[[float], None] = time.sleep,
     now: Callable[[], float] = time.monotonic,
 ) -> RecoveredData | DiskProblem:
-    """Open a store whose disk may refuse for a while; a problem after `patience` seconds of that."""
+    """Open the store, retrying while the disk reports errors; return the problem after `timeout` seconds."""
     started = now()
     reported = False
     while True:
@@ -222,7 +223,7 @@
 
 
 class _FailureReport:
-    """Tells of a disk that refuses."""
+    """A callback that reports a disk problem to `on_refused`."""
 
     def __init__(self, on_refused: Callable[[DiskProblem], None], problem: DiskProblem) -> None:
         self._on_refused = on_refused
@@ -233,7 +234,7 @@
 
 
 def _batches(operations: list[_Operation]) -> list[_Batch]:
-    """The operations in their order, appends that follow each other together."""
+    """Split the operations into batches, in order; consecutive appends share a batch."""
     batches: list[_Batch] = []
     for operation in operations:
         if batches and operation.step is _OperationKind.APPEND and batches[-1].step is _OperationKind.APPEND:
--- a/pipitledge/runtime/exchanges.py
+++ b/pipitledge/runtime/exchanges.py
@@ -1,4 +1,4 @@
-"""From threads of an HTTP server into the logic and back: take the lock, hand over, wait for the answer."""
+"""Bridges between HTTP server threads and the logic: pass a request on under the lock, and wait for the response."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 INTERNAL_PATH = "/pipitledge/internal"
 INTERNAL_ANSWER_SECONDS = 4.0
-MAX_MESSAGE_BYTES = 64 * 1024 * 1024  # bytes; repairs and snapshots of state are the long ones
+MAX_MESSAGE_BYTES = 64 * 1024 * 1024  # state repairs and snapshots are the longest messages
 NO_ANSWER = HttpResponse(504, b'{"reason":"no answer in time"}', {"Connection": "close"})
 FAILED = HttpResponse(500, b'{"reason":"internal error"}')
 NOT_POST = HttpResponse(405, b'{"reason":"only POST"}', {"Allow": "POST"})
@@ -23,17 +23,17 @@
 
 
 class HandlerExchange:
-    """Answers requests by a handler in the logic."""
+    """Answers HTTP requests by a handler in the logic."""
 
     def __init__(self, executor: SerialExecutor, handler: HttpHandler, timeout: float, step: str) -> None:
-        """Wait `timeout` seconds for each answer; `step` names the work in logs."""
+        """Wait at most `timeout` seconds for each response; `step` names the operation in logs."""
         self._executor = executor
         self._handler = handler
         self._timeout = timeout
         self._step = step
 
     def __call__(self, request: HttpRequest) -> HttpResponse:
-        """The handler's response, or one that tells why there is none."""
+        """Return the response of the handler, or an error response if it raises or does not answer in time."""
         answer = Future[HttpResponse]()
         if not self._executor.run(lambda: self._handler(request, answer.set_result), self._step, request.peer):
             answer.set_result(FAILED)
@@ -41,16 +41,16 @@
 
 
 class InternalExchange:
-    """Answers messages of other processes by the planes' handlers."""
+    """Answers messages from other processes by the handlers registered for their types."""
 
     def __init__(self, executor: SerialExecutor, handlers: Handlers, log: EventLog) -> None:
-        """Hand messages to `handlers` by their type."""
+        """Dispatch messages to `handlers`."""
         self._executor = executor
         self._handlers = handlers
         self._log = log
 
     def __call__(self, request: HttpRequest) -> HttpResponse:
-        """The encoded reply, or a status that tells why there is none."""
+        """Return the encoded reply, or an error status if there is none."""
         if request.path != INTERNAL_PATH:
             return UNKNOWN_PATH
         if request.method != "POST":
@@ -64,13 +64,13 @@
         return self._answer(message, request)
 
     def _answer(self, message: Struct, request: HttpRequest) -> HttpResponse:
-        """Hand the message over and wait; the answer names the call that it is for."""
+        """Dispatch the message and wait for its reply; the response repeats the call id of the request."""
         answer = Future[HttpResponse]()
         call_id = request.headers.get(CALL_ID_HEADER.lower(), "")
         headers = {
             "Content-Type": "application/octet-stream",
             CALL_ID_HEADER: call_id,
-            **message_body.ACCEPTS_DEFLATE,  # in an answer: deflated requests are understood (RFC 9110, 12.5.3)
+            **message_body.ACCEPTS_DEFLATE,  # in a response: this server accepts deflated requests (RFC 9110, 12.5.3)
         }
         may_compress = request.headers.get(message_body.ACCEPT_ENCODING.lower(), "") == message_body.DEFLATE
 
--- a/pipitledge/runtime/files.py
+++ b/pipitledge/runtime/files.py
@@ -1,4 +1,4 @@
-"""The few file operations that storage rests on, so that tests can put a model of a disk in their place."""
+"""The file operations that storage uses, behind protocols so that tests can substitute a model of a disk."""
 
 from __future__ import annotations
 
@@ -12,46 +12,46 @@
     """An open file."""
 
     def read_all(self) -> bytes:
-        """Read all of it."""
+        """Return the whole content."""
 
     def write_at(self, offset: int, data: bytes) -> None:
-        """Write all of `data` there."""
+        """Write all of `data` at byte `offset`."""
 
     def truncate(self, size: int) -> None:
-        """Cut it off at `size` bytes."""
+        """Set the length of the file to `size` bytes."""
 
     def sync(self) -> None:
-        """Return once content and length would survive a loss of power."""
+        """Return once content and length would survive a power loss."""
 
     def sync_data(self) -> None:
-        """Like `sync`, without what isn't needed to read the content."""
+        """Like `sync`, but without metadata that isn't needed to read the content, such as the modification time."""
 
     def close(self) -> None:
-        """Give its descriptor back."""
+        """Close the file and release its descriptor."""
 
 
 class FileSystem(Protocol):
-    """A folder's files. Every operation may raise OSError."""
+    """Operations on folders and their files. Every operation may raise OSError."""
 
     def make_folder(self, folder: str) -> None:
-        """Make the folder, unless it is there."""
+        """Create the folder if it does not exist."""
 
     def open(self, folder: str, name: str) -> File:
-        """Open a file for reading and writing; an empty one is made if there is none."""
+        """Open a file for reading and writing; it is created empty if it does not exist."""
 
     def sync_folder(self, folder: str) -> None:
-        """Return once the names of its files would survive a loss of power."""
+        """Return once the directory entries of its files would survive a power loss."""
 
 
 class OsFile:
     """A file of the operating system."""
 
     def __init__(self, descriptor: int) -> None:
-        """Use the open descriptor."""
+        """Take ownership of an open descriptor."""
         self._descriptor = descriptor
 
     def read_all(self) -> bytes:
-        """Read all of it."""
+        """Return the whole content."""
         size = os.fstat(self._descriptor).st_size
         chunks: list[bytes] = []
         offset = 0
@@ -64,7 +64,7 @@
         return b"".join(chunks)
 
     def write_at(self, offset: int, data: bytes) -> None:
-        """Write all of `data` there."""
+        """Write all of `data` at byte `offset`."""
         left = memoryview(data)
         while left:
             written = os.pwrite(self._descriptor, left, offset)
@@ -72,15 +72,15 @@
             offset += written
 
     def truncate(self, size: int) -> None:
-        """Cut it off at `size` bytes."""
+        """Set the length of the file to `size` bytes."""
         os.ftruncate(self._descriptor, size)
 
     def sync(self) -> None:
-        """Sync content and length."""
+        """Sync content and metadata (fsync)."""
         os.fsync(self._descriptor)
 
     def sync_data(self) -> None:
-        """Sync what is needed to read the content."""
+        """Sync the content and the metadata needed to read it (fdatasync)."""
         os.fdatasync(self._descriptor)
 
     def close(self) -> None:
@@ -92,16 +92,16 @@
     """The file system of the operating system."""
 
     def make_folder(self, folder: str) -> None:
-        """Make the folder and those above it."""
+        """Create the folder and its parents."""
         os.makedirs(folder, exist_ok=True)
 
     def open(self, folder: str, name: str) -> OsFile:
-        """Open or make a file."""
+        """Open a file, creating it if it does not exist."""
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
         return OsFile(os.open(os.path.join(folder, name), flags, FILE_MODE))
 
     def sync_folder(self, folder: str) -> None:
-        """Sync the folder's names."""
+        """Sync the directory entries of the folder."""
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
--- a/pipitledge/runtime/http_buffers.py
+++ b/pipitledge/runtime/http_buffers.py
@@ -1,4 +1,4 @@
-"""Buffers of the C library for a connection's bytes, in the place of cheroot's own."""
+"""Connection buffers based on `io.BufferedReader`, which is written in C, instead of cheroot's buffers in Python."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class RawSocket(socket.SocketIO):
-    """A socket's bytes; `paused` makes a read give nothing instead of waiting."""
+    """A raw socket stream; while `paused` is set, reads return no data instead of blocking."""
 
     paused = False
 
     def readinto(self, buffer: Any) -> int | None:
-        """Read what is there, waiting for the first byte."""
+        """Read the available bytes, blocking until there is at least one; return None while paused."""
         return None if self.paused else super().readinto(buffer)
 
 
 class Reader(io.BufferedReader):
-    """Buffered bytes from a connection."""
+    """A buffered reader of a connection."""
 
     def __init__(self, sock: socket.socket, size: int) -> None:
-        """Read from `sock`, up to `size` bytes at once."""
+        """Read from `sock` through a buffer of `size` bytes."""
         self._source = RawSocket(sock, "r")
         super().__init__(self._source, size)
 
     def has_data(self) -> bool:
-        """Whether bytes are buffered; reads nothing from the socket."""
+        """Return whether bytes are buffered, without reading from the socket."""
         self._source.paused = True
         try:
             return bool(self.peek(1))
@@ -35,7 +35,7 @@
 
 
 class Writer:
-    """Unbuffered bytes to a connection."""
+    """An unbuffered writer of a connection."""
 
     def __init__(self, sock: socket.socket) -> None:
         """Write to `sock`."""
@@ -48,5 +48,5 @@
 
 
 def make_file(sock: socket.socket, mode: str = "r", size: int = io.DEFAULT_BUFFER_SIZE) -> Reader | Writer:
-    """Stand in for cheroot's `MakeFile`."""
+    """Create a reader or writer; replaces cheroot's `MakeFile`."""
     return Reader(sock, size) if "r" in mode else Writer(sock)
--- a/pipitledge/runtime/http_client.py
+++ b/pipitledge/runtime/http_client.py
@@ -1,4 +1,4 @@
-"""Outgoing HTTP calls by `urllib3`, over kept connections, each with one outcome under the host's lock."""
+"""An HTTP client on `urllib3` with connection pools; each call reports one result under the executor's lock."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from pipitledge.runtime.timers import ScheduledAction
 
 CONNECT_SECONDS = 0.5
-USER_TIMEOUT_MS = 1500  # bytes unacknowledged for so long end a connection
-MAX_POOLED_ADDRESSES = 512  # with kept connections
+USER_TIMEOUT_MS = 1500  # a connection ends when sent bytes stay unacknowledged for this long
+MAX_POOLED_ADDRESSES = 512  # addresses that have a connection pool; the least recently used pool is closed
 CALL_ID_HEADER = "X-Call-Id"
 OK = 200
 PLAIN_HEADERS = {"User-Agent": SKIP_HEADER, "Accept-Encoding": SKIP_HEADER}
@@ -30,24 +30,24 @@
 
 
 class CallResult(Struct, frozen=True):
-    """How a call ended; `status` 0: no answer came, and the call may still be carried out."""
+    """The result of a call; `status` 0 means that no answer came, and the peer may still carry out the request."""
 
     status: int = 0
     body: bytes = b""
-    accepts_deflate: bool = False  # the peer says that it understands deflated requests
-    refused: bool = False  # nothing listens at the address: no connection was made
+    accepts_deflate: bool = False  # the peer accepts deflated requests
+    refused: bool = False  # the connection was refused: no process listens at the address
     reason: str = ""  # why there is no answer
 
 
 class OutgoingCall(Struct, frozen=True):
-    """One POST."""
+    """One POST request to make."""
 
     address: str
     path: str
     body: bytes
-    timeout: float  # seconds, from being asked for to the outcome
+    timeout: float  # seconds, from submission to result
     headers: Mapping[str, str] = {}
-    call_id: str = ""  # an answer has to carry it, too; empty: the peer knows nothing of such names
+    call_id: str = ""  # the answer must repeat it; empty: the peer does not support call ids
 
 
 OnResult = Callable[[CallResult], None]
@@ -57,7 +57,7 @@
 
 
 class _CallInFlight:
-    """A call with the one who waits for its outcome."""
+    """A submitted call, the callback for its result, and its timeout."""
 
     __slots__ = ("_executor", "_on_result", "_timer", "call")
 
@@ -68,11 +68,11 @@
         self._timer: ScheduledAction = executor.at(executor.now() + call.timeout, lambda: self.finish(TIMED_OUT))
 
     def is_awaited(self) -> bool:
-        """Whether the outcome is still open."""
+        """Return whether the call has no result yet."""
         return self._on_result is not None
 
     def finish(self, result: CallResult) -> None:
-        """Tell the outcome, once; called under the host's lock."""
+        """Report the result unless one was reported before; called under the executor's lock."""
         on_result, self._on_result = self._on_result, None
         if on_result is not None:
             self._timer.cancel()
@@ -80,10 +80,10 @@
 
 
 class HttpClient:
-    """Makes calls on threads of its own."""
+    """Makes HTTP calls on its own thread pool."""
 
     def __init__(self, executor: SerialExecutor, name: str, limits: CallLimits | None = None) -> None:
-        """Tell outcomes through `host`."""
+        """Report results through `executor`; `name` is the prefix of the thread names."""
         self._executor = executor
         self._name = name
         self._limits = limits or CallLimits()
@@ -92,14 +92,14 @@
         self._pools_lock = Lock()
 
     def post(self, call: OutgoingCall, on_result: OnResult) -> None:
-        """Make the call; `on_result` is told once, later, under the host's lock."""
+        """Submit the call; `on_result` is called once, later, under the executor's lock."""
         in_flight = _CallInFlight(self._executor, call, on_result)
         pending = PendingCall(call.address, lambda: self._perform(in_flight), in_flight.is_awaited)
         if not self._threads.submit(pending):
             self._executor.at(self._executor.now(), lambda: in_flight.finish(BUSY))
 
     def close(self) -> None:
-        """Close kept connections."""
+        """Close the connection pools and let idle threads end."""
         self._threads.close()
         with self._pools_lock:
             for pool in self._pools.values():
@@ -107,7 +107,7 @@
             self._pools.clear()
 
     def _perform(self, in_flight: _CallInFlight) -> CallOutcome:
-        """Make the call on this thread, and tell its outcome."""
+        """Make the call on this thread and report its result."""
         call = in_flight.call
         outcome = CallOutcome.REACHED
         try:
@@ -123,7 +123,7 @@
         return outcome
 
     def _request(self, call: OutgoingCall) -> CallResult:
-        """Send the call and read the answer whole."""
+        """Send the request and read the complete response."""
         id_headers = {CALL_ID_HEADER: call.call_id} if call.call_id else {}
         response = self._pool(call.address).urlopen(
             "POST",
@@ -137,15 +137,15 @@
         )
         answered = response.headers.get(CALL_ID_HEADER, "")
         if call.call_id and answered not in ("", call.call_id):
-            self._discard_pool(call.address)  # what its connections carry can't be trusted any more
-            return CallResult(reason=f"answer to another call, {answered}")
+            self._discard_pool(call.address)  # its connections may deliver answers to other calls
+            return CallResult(reason=f"answer to another call: {answered}")
         if call.call_id and not answered and response.status == OK:
-            return CallResult(reason="answer that names no call")
+            return CallResult(reason="answer without a call id")
         accepts_deflate = response.headers.get(ACCEPT_ENCODING, "") == DEFLATE
         return CallResult(response.status, response.data, accepts_deflate)
 
     def _pool(self, address: str) -> HTTPConnectionPool:
-        """The kept connections to that address."""
+        """Return the connection pool of the address, creating it if needed."""
         with self._pools_lock:
             pool = self._pools.get(address)
             if pool is None:
@@ -156,14 +156,14 @@
         return pool
 
     def _discard_pool(self, address: str) -> None:
-        """Close the kept connections to that address; the next call makes others."""
+        """Close the connection pool of the address; the next call creates a new one."""
         with self._pools_lock:
             pool = self._pools.pop(address, None)
         if pool is not None:
             pool.close()
 
     def _new_pool(self, address: str) -> HTTPConnectionPool:
-        """A pool that keeps as many connections as calls may be under way."""
+        """Create a pool that keeps one connection for each call allowed in parallel."""
         ip, _, port = address.rpartition(":")
         return HTTPConnectionPool(
             ip, int(port), maxsize=self._limits.per_address, block=False, socket_options=SOCKET_OPTIONS
--- a/pipitledge/runtime/http_connections.py
+++ b/pipitledge/runtime/http_connections.py
@@ -1,6 +1,7 @@
-"""A server's connections: watched while idle, off the watch while a request on them is read and answered.
+"""The connections of a server: a selector polls them while they are idle, but not while a request is handled.
 
-One thread accepts and watches. It never waits for anything but events: what may take time is for the request threads.
+One thread, the event thread, accepts connections and polls the selector. It blocks on nothing but the selector:
+anything that may take time is left to the request threads.
 """
 
 from __future__ import annotations
@@ -20,50 +21,50 @@
 if TYPE_CHECKING:
     from pipitledge.runtime.http_server import CherootServer
 
-ACCEPT_PAUSE_SECONDS = 0.05  # after a failure to accept, such as too many descriptors
-RETIRE_POLL_SECONDS = 0.02  # between looks whether the last call has ended
-WAKE = "wake"  # what the selector tells of the pipe that wakes the watching thread
+ACCEPT_PAUSE_SECONDS = 0.05  # after accept() failed, for example for lack of file descriptors
+RETIRE_POLL_SECONDS = 0.02  # interval of the check whether the last call has ended
+WAKE = "wake"  # the selector's data for the pipe that wakes the event thread
 WAKE_BYTES = 64
 
 
 class InFlightCalls:
-    """Counts connections on which a request has begun and not been answered yet.
+    """Counts connections with a request that has begun to arrive and has not been answered yet.
 
-    A connection may count twice for a moment: its next request may have begun before the thread of the last one has
-    told that it is done.
+    A connection may briefly count twice: its next request may begin before the thread of the previous request has
+    called `end`.
     """
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Create a counter at 0."""
         self._lock = threading.Lock()
         self._count = 0
 
     def __len__(self) -> int:
-        """How many there are."""
+        """Return the number of connections with a request in progress."""
         return self._count
 
     def begin(self) -> None:
-        """A request has begun to arrive."""
+        """Count a request that has begun to arrive."""
         with self._lock:
             self._count += 1
 
     def end(self) -> None:
-        """It was answered, or its connection closed."""
+        """Stop counting a request that was answered or whose connection was closed."""
         with self._lock:
             self._count -= 1
 
 
 class IdleConnectionManager(connections.ConnectionManager):
-    """Watches the listening socket and all idle connections."""
+    """Polls the listening socket and all idle connections."""
 
     server: CherootServer
     _selector: Any
 
     def __init__(self, owner: CherootServer) -> None:
-        """Watch for `owner`, which listens already."""
+        """Manage the connections of `owner`, which is listening already."""
         super().__init__(owner)
         self.in_flight = InFlightCalls()
-        self.finished = threading.Event()  # retired, and the last call has been answered
+        self.finished = threading.Event()  # set once `retire` was called and the last call has been answered
         self._retiring = False
         self._listening = True
         self._wake_read, self._wake_write = os.pipe()
@@ -72,14 +73,14 @@
 
     @property
     def _num_connections(self) -> int:
-        """How many idle connections are watched; cheroot's limit of kept ones goes by it."""
+        """The number of idle connections; cheroot applies its keep-alive limit to it."""
         own = 1 + self._listening  # the pipe, and the listening socket
         return len(self._selector) - own
 
-    # ---- called from other threads
+    # ---- Methods called from other threads.
 
     def put(self, conn: Any) -> None:
-        """Watch a connection whose request was answered, or serve it at once if its next request is here."""
+        """Return a connection to the selector after a response, or serve its next request if that is buffered."""
         if conn.rfile.has_data():
             self.server.process_conn(conn)
             return
@@ -87,34 +88,38 @@
         self.in_flight.end()
 
     def retire(self) -> None:
-        """Accept what waits and no more; answer what comes; finish at the first moment without a call."""
+        """Shut down gracefully.
+
+        Accepts the pending connections and no others, answers all requests that arrive, and finishes as soon as no
+        request is in progress.
+        """
         self._retiring = True
         self._wake()
 
     def request_stop(self) -> None:
-        """Leave `run` after the event under way."""
+        """Make `run` return after the current event."""
         self._stop_requested = True
         self._wake()
 
     def close(self) -> None:
-        """Close all idle connections."""
+        """Close all idle connections, the selector and the wake pipe."""
         self._close_idle()
         self._selector.close()
         for descriptor in (self._wake_read, self._wake_write):
             os.close(descriptor)
 
     def _wake(self) -> None:
-        with contextlib.suppress(BlockingIOError):  # then it is woken already
+        with contextlib.suppress(BlockingIOError):  # the pipe is full, so the event thread wakes anyway
             os.write(self._wake_write, b"w")
 
     def _add_idle(self, conn: Any) -> None:
         conn.last_used = time.monotonic()
         self._selector.register(conn.socket.fileno(), selectors.EVENT_READ, data=conn)
 
-    # ---- the watching thread
+    # ---- Methods called from the event thread.
 
     def _run(self, expiration_interval: float) -> None:
-        """Serve events until stopped, or until finished after `retire`."""
+        """Handle events until stopped, or until the graceful shutdown has finished."""
         expire_at = time.monotonic() + expiration_interval
         while not self._stop_requested:
             self._serve_ready(RETIRE_POLL_SECONDS if self._retiring else expiration_interval)
@@ -125,7 +130,7 @@
                 expire_at = time.monotonic() + expiration_interval
 
     def _serve_ready(self, timeout: float) -> int:
-        """Serve what is there within `timeout` seconds; how many events there were."""
+        """Wait at most `timeout` seconds for events and handle them; return their number."""
         ready = list(self._selector.select(timeout=timeout))
         for descriptor, what in ready:
             if what is self.server:
@@ -133,14 +138,14 @@
             elif what is WAKE:
                 os.read(self._wake_read, WAKE_BYTES)
             else:
-                # Under way before it is off the watch, so that it is counted at every moment.
+                # Counted before it leaves the selector, so that `_retired` never misses the request.
                 self.in_flight.begin()
                 self._selector.unregister(descriptor)
                 self.server.process_conn(what)
         return len(ready)
 
     def _retired(self) -> bool:
-        """Whether the last call has ended, with nothing more to read on any connection."""
+        """Finish and return True if no request is in progress and no connection has data to read."""
         if self._listening:
             self._stop_listening()
         if len(self.in_flight) or self._serve_ready(0):
@@ -150,7 +155,7 @@
         return True
 
     def _stop_listening(self) -> None:
-        """Take the connections that wait to be accepted, but not those that go on coming; refuse all later ones."""
+        """Accept pending connections, at most one backlog of them, and close the listening socket."""
         self._listening = False
         listener = self.server.socket
         listener.setblocking(False)
@@ -161,7 +166,7 @@
         listener.close()
 
     def _accept(self) -> bool:
-        """Accept one connection and watch it, until a request begins; whether there was one."""
+        """Accept one connection and poll it for its first request; return whether there was one."""
         try:
             accepted = self._from_server_socket(self.server.socket)  # type: ignore[attr-defined]
         except OSError as error:
@@ -177,7 +182,7 @@
         return True
 
     def _close_idle(self) -> None:
-        """Close every idle connection; one that can't be closed holds up none of the others."""
+        """Close every idle connection; a failure to close one is logged, and the others are still closed."""
         for _, connection in list(self._selector.connections):
             if not isinstance(connection, Connection):
                 continue
@@ -187,7 +192,7 @@
                 self.server.log.warning("close_failed", server=self.server.options.name, error=repr(error))
 
     def _expire(self, threshold: float) -> None:
-        """Close connections that were last used before `threshold`, by steady time."""
+        """Close idle connections last used before the monotonic time `threshold`."""
         for descriptor, connection in list(self._selector.connections):
             if isinstance(connection, Connection) and connection.last_used < threshold:
                 self._selector.unregister(descriptor)
@@ -195,21 +200,21 @@
 
 
 class Connection(server.HTTPConnection):
-    """A connection with buffers of the C library."""
+    """A connection that uses the buffers of `http_buffers`."""
 
     last_used: float
 
     def __init__(self, owner: CherootServer, sock: socket.socket, makefile: object = None) -> None:
-        """Serve `sock` for `owner`."""
+        """Create the connection of `owner` on `sock`."""
         super().__init__(owner, sock, make_file)
 
     def close(self) -> None:
-        """Close it, with the call on it; cheroot's threads do so."""
+        """Close the connection and end its request; called by cheroot's request threads."""
         try:
             super().close()
         finally:
             self.server.in_flight_calls.end()
 
     def close_idle(self) -> None:
-        """Close it while no call is under way on it."""
+        """Close the connection while no request is in progress on it."""
         super().close()
--- a/pipitledge/runtime/http_gateway.py
+++ b/pipitledge/runtime/http_gateway.py
@@ -1,4 +1,4 @@
-"""One request: read whole, answered by the server's exchange, and the answer written in one piece."""
+"""Handles one request: reads it completely, gets the response from the server's exchange, and writes it at once."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from pipitledge.runtime.http_server import CherootServer
 
-MAX_DISCARD_BYTES = 8 * 1024 * 1024  # of a body over the limit that are read so that the caller sees the answer
+MAX_DISCARD_BYTES = 8 * 1024 * 1024  # bytes read of a body over the limit, so that the caller receives the answer
 DISCARD_CHUNK = 64 * 1024
 TOO_LARGE = HttpResponse(413, b'{"reason":"body too large"}', {"Connection": "close"})
 BAD_BODY = HttpResponse(400, b'{"reason":"malformed body"}', {"Connection": "close"})
@@ -23,10 +23,10 @@
 
 
 class Gateway(server.Gateway):
-    """Reads one request whole, has it answered, and writes the answer."""
+    """Connects cheroot's request handling with the server's exchange."""
 
     def respond(self) -> None:
-        """Answer the request."""
+        """Read the request and write its response; close the connection if the caller has disconnected."""
         body = self._read_body()
         if body is None:
             self.req.close_connection = True
@@ -36,7 +36,7 @@
         self._write(response)
 
     def _exchange(self, body: bytes) -> HttpResponse:
-        """Have the request answered."""
+        """Return the response to the request, or an error response."""
         owner: CherootServer = self.req.server
         if owner.refusing:
             return SHUTTING_DOWN
@@ -47,7 +47,7 @@
             return FAILED
 
     def _request(self, body: bytes) -> HttpRequest:
-        """The request, typed."""
+        """Return cheroot's request as an `HttpRequest`."""
         req = self.req
         headers = {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in req.inheaders.items()}
         return HttpRequest(
@@ -60,11 +60,11 @@
         )
 
     def _peer(self) -> str:
-        """The caller's IP address."""
+        """Return the IP address of the caller."""
         return str(self.req.conn.remote_addr or "")
 
     def _read_body(self) -> bytes | HttpResponse | None:
-        """The body; or the response to one that can't be taken; None if the caller has gone."""
+        """Return the body, an error response if it is unacceptable, or None if the caller has disconnected."""
         if self.req.chunked_read:
             return self._read_chunks()
         length = int(self.req.inheaders.get(b"Content-Length", 0))
@@ -77,7 +77,7 @@
         return body if len(body) == length else None
 
     def _read_chunks(self) -> bytes | HttpResponse:
-        """A body in chunks."""
+        """Return a body sent in chunked encoding, or an error response."""
         source: Any = server.ChunkedRFile(self.req.conn.rfile, self.req.server.body_limit)
         try:
             body = bytes(source.read())
@@ -96,7 +96,10 @@
         return body
 
     def _discard(self, length: int) -> None:
-        """Read a body over the limit, lest closing with unread bytes resets the connection before the answer."""
+        """Read and drop a body over the limit.
+
+        Closing a connection with unread bytes would reset it before the caller has read the response.
+        """
         left = min(length, MAX_DISCARD_BYTES)
         while left > 0:
             chunk = self.req.conn.rfile.read(min(left, DISCARD_CHUNK))
@@ -105,7 +108,7 @@
             left -= len(chunk)
 
     def _write(self, response: HttpResponse) -> None:
-        """Write the response in one piece."""
+        """Write head and body of the response with one call."""
         req = self.req
         req.close_connection = req.close_connection or self._must_close(response)
         req.sent_headers = True
@@ -123,7 +126,7 @@
         req.conn.wfile.write(head if req.method == b"HEAD" else head + response.body)
 
     def _must_close(self, response: HttpResponse) -> bool:
-        """Whether the connection ends with this response."""
+        """Return whether the connection is closed after this response."""
         asked: bytes = self.req.inheaders.get(b"Connection", b"")
         owner: CherootServer = self.req.server
         wanted = asked.lower() == b"close" or response.headers.get("Connection") == "close"
@@ -131,7 +134,7 @@
 
 
 def _phrase(status: int) -> str:
-    """The reason phrase of a status."""
+    """Return the reason phrase of a status code."""
     try:
         return http.HTTPStatus(status).phrase
     except ValueError:
--- a/pipitledge/runtime/http_server.py
+++ b/pipitledge/runtime/http_server.py
@@ -1,7 +1,7 @@
-"""HTTP servers on `cheroot`, tuned for many kept connections and few wake-ups.
+"""HTTP servers on `cheroot`, tuned for many keep-alive connections and few thread wake-ups.
 
-What differs from cheroot as it comes: a connection takes a thread only once a request has begun to arrive, threads are
-added as they are needed, buffers are those of the C library, and a response leaves in one write.
+Differences from plain cheroot: a connection occupies a thread only once a request has begun to arrive, threads are
+added on demand, connection buffers are implemented in C, and a response is sent with one write.
 """
 
 from __future__ import annotations
@@ -21,49 +21,49 @@
 from pipitledge.runtime.http_types import HttpRequest, HttpResponse
 from pipitledge.runtime.logs import EventLog
 
-Exchange = Callable[[HttpRequest], HttpResponse]  # runs on a thread of the server and may block
+Exchange = Callable[[HttpRequest], HttpResponse]  # called on a request thread; may block
 
-BACKLOG = 512  # connections that wait to be accepted
+BACKLOG = 512  # length of the queue of connections not accepted yet
 MAX_HEADER_BYTES = 32 * 1024
-IDLE_CHECK_SECONDS = 5.0  # between looks for idle connections
+IDLE_CHECK_SECONDS = 5.0  # interval of the check for connections that were idle too long
 
 
 class ServerOptions(Struct, frozen=True):
-    """How one server is run."""
+    """The options of one server."""
 
     name: str
-    threads: int = 2  # at the start
+    threads: int = 2  # started at first
     max_threads: int = 32
     body_limit: int = 256 * 1024  # bytes
-    read_seconds: float = 5.0  # longest silence in the midst of a request
-    idle_seconds: float = 15.0  # longest silence between requests
-    connections: int = 1024  # kept at most
+    read_seconds: float = 5.0  # longest wait for the next bytes of a request
+    idle_seconds: float = 15.0  # a connection without a request for this long is closed
+    connections: int = 1024  # most idle connections kept open
 
 
 class HttpServer:
-    """Listens on one address and answers by `exchange`."""
+    """Listens on one address and answers requests by `exchange`."""
 
     def __init__(self, ip: str, port: int, exchange: Exchange, options: ServerOptions, log: EventLog) -> None:
-        """Prepare; nothing is bound before `bind`. Port 0 takes any free one."""
+        """Create the server without binding it. Port 0 selects any free port."""
         self._server = CherootServer((ip, port), exchange, options, log)
         self._thread = threading.Thread(target=self._server.serve, name=options.name, daemon=True)
 
     def bind(self) -> None:
-        """Begin to listen; raises OSError if the address is taken."""
+        """Bind and listen; raises OSError if the address is in use."""
         self._server.prepare()
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start to accept connections and answer requests."""
         self._thread.start()
 
     @property
     def port(self) -> int:
-        """The port that is listened on."""
+        """The port the server listens on, once bound."""
         return int(self._server.bind_addr[1])
 
     @property
     def body_limit(self) -> int:
-        """Longest body taken, in bytes."""
+        """The largest accepted request body, in bytes."""
         return self._server.body_limit
 
     @body_limit.setter
@@ -71,28 +71,28 @@
         self._server.body_limit = limit
 
     def drain(self) -> None:
-        """From now on, close each connection after its next answer."""
+        """Close each connection after its next response, from now on."""
         self._server.draining = True
 
     def retire(self) -> None:
-        """Refuse new connections, answer what comes on open ones, and finish once no call is under way any more."""
+        """Refuse new connections, answer requests on open ones, and finish once no request is in progress."""
         self.drain()
         self._server.retire()
 
     def refuse(self) -> None:
-        """From now on, answer every request at once by 503: there is no time left for it."""
+        """Answer every request at once with status 503, from now on, because too little time is left to handle it."""
         self._server.refusing = True
 
     def finished(self) -> bool:
-        """Whether the last call since `retire` has been answered, and every connection closed."""
+        """Return whether, after `retire`, the last request has been answered and every connection is closed."""
         return self._server.finished()
 
     def busy(self) -> int:
-        """Requests that are being read, answered, or waiting for a thread."""
+        """Return the number of requests being read, being answered, or waiting for a thread."""
         return self._server.busy()
 
     def stop(self) -> None:
-        """Close everything; requests under way are given a little time."""
+        """Stop the server and close all connections; requests in progress get one second to finish."""
         self._server.request_stop()
         if self._thread.is_alive():
             self._thread.join()
@@ -100,23 +100,23 @@
 
 
 class CherootServer(server.HTTPServer):
-    """Cheroot's server with the changes that the module tells of."""
+    """Cheroot's server with the changes listed in the module's docstring."""
 
     _connections: IdleConnectionManager
 
     def __init__(self, address: tuple[str, int], exchange: Exchange, options: ServerOptions, log: EventLog) -> None:
-        """Prepare; nothing is bound before `prepare`."""
+        """Create the server without binding it; `prepare` binds."""
         super().__init__(address, gateway=Gateway)
         self.exchange = exchange
         self.options = options
         self.log = log
         self.body_limit = options.body_limit
-        self.draining = False  # each connection ends with its next answer
-        self.refusing = False  # each request is answered by 503
+        self.draining = False  # close each connection after its next response
+        self.refusing = False  # answer each request with status 503
         self.requests = RequestThreads(self, options.threads, options.max_threads)
         self.ConnectionClass = Connection
         self.request_queue_size = BACKLOG
-        self.timeout = options.read_seconds  # type: ignore[assignment]  # seconds, fractions included
+        self.timeout = options.read_seconds  # type: ignore[assignment]  # cheroot declares an int; fractions of seconds work
         self.expiration_interval = IDLE_CHECK_SECONDS
         self.keep_alive_conn_limit = options.connections
         self.max_request_header_size = MAX_HEADER_BYTES
@@ -130,7 +130,7 @@
         self._connections = IdleConnectionManager(self)
 
     def serve(self) -> None:
-        """Hand on connections until stopped."""
+        """Run the event thread until stopped."""
         while self.ready:
             try:
                 self._connections.run(self.expiration_interval)
@@ -139,34 +139,34 @@
                 self.log.error("http_serve_failed", server=self.options.name, error=repr(error))
 
     def process_conn(self, conn: Any) -> None:
-        """Queue a connection on which a request has begun, and see to it that a thread takes it."""
+        """Queue a connection on which a request has begun, and add a thread if there are too few."""
         self.requests.put(conn)
         self.requests.grow_if_short()
 
     @property
     def in_flight_calls(self) -> InFlightCalls:
-        """Connections on which a request has begun."""
+        """The counter of connections with a request in progress."""
         return self._connections.in_flight
 
     def busy(self) -> int:
-        """Connections with a thread, or waiting for one."""
+        """Return the number of connections that have a request thread or wait for one."""
         return len(self.in_flight_calls)
 
     def retire(self) -> None:
-        """Refuse new connections, and finish once no call is under way any more."""
+        """Refuse new connections, and finish once no request is in progress."""
         self._connections.retire()
 
     def finished(self) -> bool:
-        """Whether that has come about."""
+        """Return whether the shutdown begun by `retire` has finished."""
         return self._connections.finished.is_set()
 
     def request_stop(self) -> None:
-        """Let `serve` return at once."""
+        """Make `serve` return."""
         if self.ready:
             self._connections.request_stop()
 
     def error_log(self, msg: str = "", level: int = logging.INFO, traceback: bool = False) -> None:
-        """Log what cheroot reports, connections that broke off excepted."""
+        """Log the warnings and errors that cheroot reports; broken connections are below that level."""
         if level >= logging.WARNING:
             trace = traceback_.format_exc(limit=-3) if traceback else None
             self.log.warning("http_error", server=self.options.name, problem=msg, trace=trace)
--- a/pipitledge/runtime/http_threads.py
+++ b/pipitledge/runtime/http_threads.py
@@ -1,4 +1,4 @@
-"""Threads that answer requests: a pool that grows while requests wait."""
+"""The thread pool that answers requests; it grows while requests wait."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class RequestThreads(threadpool.ThreadPool):
-    """A pool that adds a thread when there are more calls under way than threads.
+    """A pool that adds a thread when more requests are in progress than there are threads.
 
-    Calls are counted, not idle threads: a thread that has just taken a call does not show it yet. The thread that
-    watches the connections grows the pool, and must not wait until the new thread has been started.
+    The decision counts requests instead of idle threads, because a thread that has just taken a request still appears
+    idle. The event thread grows the pool, and must not block until the new thread has started.
     """
 
     _threads: list[threadpool.WorkerThread]
 
     def __init__(self, owner: CherootServer, threads: int, max_threads: int) -> None:
-        """Begin with `threads`, and have `most` at last."""
+        """Create a pool of `threads` threads that grows to at most `max_threads`."""
         super().__init__(owner, min=threads, max=max_threads)
 
     def grow(self, amount: int) -> None:
-        """Add threads, without waiting until they have begun."""
+        """Add up to `amount` threads, without waiting until they run."""
         for _ in range(min(amount, self.max - len(self._threads))):
             worker = threadpool.WorkerThread(self.server)
             worker.name = f"{self.server.options.name}-{len(self._threads)}"
@@ -35,6 +35,6 @@
             starter.start(worker)
 
     def grow_if_short(self) -> None:
-        """Have a thread added if there are more calls under way than threads."""
+        """Add a thread if more requests are in progress than there are threads."""
         if len(self._threads) < len(self.server.in_flight_calls):
             self.grow(1)
--- a/pipitledge/runtime/http_types.py
+++ b/pipitledge/runtime/http_types.py
@@ -1,4 +1,4 @@
-"""Requests and responses of the system's HTTP interfaces, as the logic sees them."""
+"""HTTP requests and responses as passed between the servers and the logic."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class HttpRequest(Struct, frozen=True):
-    """One request, read whole."""
+    """One request with its complete body."""
 
     method: str
     path: str  # percent-decoded, without the query
@@ -19,7 +19,7 @@
 
 
 class HttpResponse(Struct, frozen=True):
-    """One response; its length is added by the server."""
+    """One response; the server adds the `Content-Length` header."""
 
     status: int
     body: bytes = b""
@@ -27,4 +27,4 @@
 
 
 Respond = Callable[[HttpResponse], None]
-HttpHandler = Callable[[HttpRequest, Respond], None]  # calls respond once, now or later
+HttpHandler = Callable[[HttpRequest, Respond], None]  # calls respond once, immediately or later
--- a/pipitledge/runtime/line_writer.py
+++ b/pipitledge/runtime/line_writer.py
@@ -1,8 +1,8 @@
-"""The one thread of a process that writes log lines.
+"""The single thread of a process that writes log lines.
 
-Threads that have something to log never write: `picologging` takes its lock without letting the interpreter go on, so
-that a second thread that writes meanwhile stops the process for good; and a log that nobody reads holds up whoever
-writes.
+Other threads only queue their lines, for two reasons. `picologging` acquires its lock without releasing the GIL, so a
+second thread that writes at the same time deadlocks the process. And when the reader of the log does not read, a write
+blocks.
 """
 
 from __future__ import annotations
@@ -14,41 +14,41 @@
 
 import picologging
 
-MAX_QUEUED_LINES = 10_000  # lines; more are left out, and counted
-MAX_LINES_PER_WRITE = 200  # lines in one write
-STANDARD_OUTPUT = 1  # descriptor
+MAX_QUEUED_LINES = 10_000  # further lines are dropped and counted
+MAX_LINES_PER_WRITE = 200
+STANDARD_OUTPUT = 1  # file descriptor
 
 
 class LineSink(Protocol):
-    """Takes finished lines; `picologging.Logger` is one."""
+    """Receives formatted lines; implemented by `picologging.Logger`."""
 
     def log(self, level: int, msg: str, /) -> None:
-        """Take one line."""
+        """Write one line, or several joined by line breaks."""
 
 
 class DescriptorStream:
-    """A stream without a buffer of its own, so that nothing is left to write when the process ends."""
+    """An unbuffered stream, so that no output is lost in a buffer when the process ends."""
 
     def __init__(self, descriptor: int) -> None:
-        """Write to that descriptor."""
+        """Write to the file descriptor `descriptor`."""
         self._descriptor = descriptor
 
     def write(self, text: str) -> int:
-        """Write all of it; raises OSError if that can't be."""
+        """Write the whole text; raises OSError on failure."""
         left = memoryview(text.encode("utf-8", "replace"))
         while left:
             left = left[os.write(self._descriptor, left) :]
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing: all is written."""
+        """Do nothing: `write` does not buffer."""
 
 
 class LineWriter:
-    """Takes lines from any thread without making it wait, and writes them on a thread of its own."""
+    """Accepts lines from any thread without blocking, and writes them on its own thread."""
 
     def __init__(self, sink: LineSink, max_queued: int = MAX_QUEUED_LINES) -> None:
-        """Write to `sink`; beyond `most_waiting` lines that wait, new ones are left out."""
+        """Write to `sink`; new lines are dropped while `max_queued` lines are queued."""
         self._sink = sink
         self._max_queued = max_queued
         self._lines: queue.SimpleQueue[str | threading.Event] = queue.SimpleQueue()
@@ -57,7 +57,7 @@
         self._dropped = 0
 
     def log(self, _level: int, line: str, /) -> None:
-        """Have the line written, in its turn."""
+        """Queue the line, or drop it if the queue is full."""
         if self._lines.qsize() >= self._max_queued:
             self._dropped += 1
             return
@@ -66,7 +66,7 @@
             self._start()
 
     def flush(self, seconds: float) -> bool:
-        """Wait until all lines so far are written; False if that takes over `seconds`."""
+        """Wait until all lines queued so far are written; return False after `seconds` seconds."""
         if self._thread is None:
             return True
         written = threading.Event()
@@ -91,7 +91,7 @@
                 flushed.set()
 
     def _take_batch(self) -> tuple[list[str], threading.Event | None]:
-        """The lines to write next, and who waits for them if somebody does."""
+        """Wait for lines; return the next batch, and the event of a `flush` call if one follows the batch."""
         batch: list[str] = []
         while not batch or (len(batch) < MAX_LINES_PER_WRITE and not self._lines.empty()):
             item = self._lines.get()
@@ -101,7 +101,7 @@
         return batch, None
 
     def _write(self, batch: list[str]) -> None:
-        """Write the lines; those that can't be written are counted, and the next are tried."""
+        """Write the lines; if that fails, count them as dropped and continue with the next batch."""
         try:
             self._sink.log(picologging.INFO, "\n".join(batch))
         except Exception:
@@ -109,7 +109,7 @@
 
 
 def standard_output() -> LineWriter:
-    """A writer to this process's standard output."""
+    """Create a writer to the standard output of this process."""
     handler = picologging.StreamHandler(DescriptorStream(STANDARD_OUTPUT))
     handler.setFormatter(picologging.Formatter("%(message)s"))
     logger = picologging.Logger("pipitledge", picologging.INFO)
--- a/pipitledge/runtime/log_file.py
+++ b/pipitledge/runtime/log_file.py
@@ -1,11 +1,12 @@
-"""The format of a log: the entries that follow one snapshot.
+"""The format of a log file, which holds the entries that follow one snapshot.
 
-A header names the snapshot's generation. Each entry is `length, number, durable, checksum, payload`: numbers rise by 1
-from 1, and `durable` is the number of the last entry known to be on disk when this one was written. The checksum also
-covers the generation, so that entries left over from an older log in the same file are never taken for this one's.
+The header contains the generation of the snapshot. Each entry is `mark, length, number, durable, checksum, payload`:
+numbers start at 1 and increase by 1, and `durable` is the number of the last entry known to be on disk when this entry
+was written. The checksum also covers the generation, so that entries left over from an older log in the same file are
+never read as part of this log.
 
-Reading ends at the first entry that isn't valid, as a crash may leave one that was half written. If a later entry says
-that it had been on disk, something else damaged it, and the log is corrupt.
+Reading ends at the first invalid entry, because a crash may leave a partially written entry. But if a later entry
+records that the invalid entry was durable, it was damaged afterwards, and the log is corrupt.
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
 
 
 class LogContent(Struct, frozen=True):
-    """What a log file holds."""
+    """The content of a log file."""
 
     generation: int
     entries: list[bytes]
-    end: int  # where the last valid entry ends, in bytes
-    damaged: bool  # entries that were on disk are missing
+    end: int  # offset in bytes at which the last valid entry ends
+    damaged: bool  # entries that had been durable are missing
 
 
 class _Entry(Struct, frozen=True):
@@ -42,19 +43,19 @@
 
 
 def encode_header(generation: int) -> bytes:
-    """The start of the log that follows the snapshot of that generation."""
+    """Return the header of the log that follows the snapshot of `generation`."""
     fields = _HEADER.pack(_MAGIC, generation)
     return fields + _CHECKSUM.pack(zlib.crc32(fields))
 
 
 def encode_entry(generation: int, number: int, durable: int, payload: bytes) -> bytes:
-    """One entry."""
+    """Return one encoded entry."""
     fields = _ENTRY.pack(_ENTRY_MARK, len(payload), number, durable)
     return fields + _CHECKSUM.pack(_entry_checksum(generation, fields, payload)) + payload
 
 
 def decode(content: bytes) -> LogContent | None:
-    """The log in a file of that content; None if its header isn't valid."""
+    """Decode the content of a log file; return None if its header is invalid."""
     generation = _generation(content)
     if generation is None:
         return None
@@ -70,7 +71,7 @@
 
 
 def _generation(content: bytes) -> int | None:
-    """The generation that the header names."""
+    """Return the generation in the header; None if the header is invalid."""
     if len(content) < HEADER_BYTES:
         return None
     magic, generation = _HEADER.unpack_from(content)
@@ -81,7 +82,7 @@
 
 
 def _entry_at(content: bytes, offset: int, generation: int) -> _Entry | None:
-    """The valid entry that starts there."""
+    """Return the entry that starts at `offset`; None if there is no valid one."""
     start = offset + ENTRY_HEADER_BYTES
     if start > len(content):
         return None
@@ -97,7 +98,7 @@
 
 
 def _newest_durable(content: bytes, offset: int, generation: int) -> int:
-    """The highest entry that valid entries behind `offset` say was on disk."""
+    """Return the highest `durable` number of all valid entries found after `offset`."""
     highest = 0
     offset = content.find(_ENTRY_MARK, offset)
     while offset >= 0:
--- a/pipitledge/runtime/logs.py
+++ b/pipitledge/runtime/logs.py
@@ -1,7 +1,8 @@
-"""Structured logs: one event a line on standard output, `1764650565123 INFO agent event key=value ...`.
+"""Structured logs: one event per line on standard output, `1764650565123 INFO agent event key=value ...`.
 
-Events carry their step, peer and epoch as fields where there are any. Writing costs processor time, so an event that
-repeats is held back beyond a few in a while; the next line of it says how many were left out (`suppressed=N`).
+Events carry step, peer and epoch as fields where they apply. Writing costs processor time, so repeated events are rate
+limited: at most `EVENTS_PER_WINDOW` events of a name are written per `WINDOW_SECONDS`, and the next line written for
+the event tells how many were suppressed (`suppressed=N`).
 """
 
 from __future__ import annotations
@@ -16,16 +17,16 @@
 
 from pipitledge.runtime.line_writer import LineSink, LineWriter, standard_output
 
-FLUSH_SECONDS = 1.0  # at the end of the process, for a log that somebody may not read
+FLUSH_SECONDS = 1.0  # limit for the flush at process exit, as the reader of the log may have stopped reading
 WINDOW_SECONDS = 10.0
 EVENTS_PER_WINDOW = 20
-MAX_VALUE_CHARACTERS = 400  # characters; what is longer is cut
+MAX_VALUE_CHARACTERS = 400  # longer values are truncated
 
 _NEEDS_QUOTES = re.compile(r"[\s\"=]|^$")
 
 
 class _EventWindow(Struct):
-    """How often one event came in its window."""
+    """The counts of one event in its current rate limit window."""
 
     window_start: float
     written: int = 0
@@ -33,7 +34,7 @@
 
 
 class EventLog:
-    """Writes the events of one part of the program."""
+    """Writes the events of one component."""
 
     def __init__(
         self,
@@ -42,7 +43,7 @@
         now: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
     ) -> None:
-        """Write to `sink` under `name`; `now` is steady time and `wall` time of day, in seconds."""
+        """Write to `sink` under `name`; `now` returns monotonic time and `wall` the time of day, both in seconds."""
         self._sink = sink
         self._name = name
         self._now = now
@@ -50,22 +51,22 @@
         self._windows: dict[str, _EventWindow] = {}
 
     def info(self, event: str, **fields: object) -> None:
-        """Write an ordinary event."""
+        """Log an event of normal operation."""
         self._write(picologging.INFO, "INFO", event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
-        """Write an event that operators may want to look at."""
+        """Log an event that operators may want to investigate."""
         self._write(picologging.WARNING, "WARNING", event, fields)
 
     def error(self, event: str, **fields: object) -> None:
-        """Write an event that should not have happened."""
+        """Log an event that should not happen."""
         self._write(picologging.ERROR, "ERROR", event, fields)
 
-    def _write(self, level: int, word: str, event: str, fields: dict[str, object]) -> None:
+    def _write(self, level: int, level_name: str, event: str, fields: dict[str, object]) -> None:
         window = self._admit(event)
         if window is None:
             return
-        parts = [str(int(self._wall() * 1000)), word, self._name, event]
+        parts = [str(int(self._wall() * 1000)), level_name, self._name, event]
         parts += [f"{key}={_format_value(value)}" for key, value in fields.items() if value is not None]
         if window.suppressed:
             parts.append(f"suppressed={window.suppressed}")
@@ -73,7 +74,7 @@
         self._sink.log(level, " ".join(parts))
 
     def _admit(self, event: str) -> _EventWindow | None:
-        """Count the event; None if it is one too many."""
+        """Count the event; return None if the rate limit suppresses it."""
         now = self._now()
         window = self._windows.get(event)
         if window is None:
@@ -89,7 +90,7 @@
 
 
 def get(name: str) -> EventLog:
-    """The log of the part `name`; those of one name share their counts."""
+    """Return the log of the component `name`; all callers with the same name share one log and its rate limits."""
     log = _logs.get(name)
     if log is None:
         log = _logs[name] = EventLog(_standard_output(), name)
@@ -97,7 +98,7 @@
 
 
 def _format_value(value: object) -> str:
-    """The value on one line, quoted where it holds spaces."""
+    """Format the value on one line, quoted if it is empty or contains whitespace, quotes or `=`."""
     if isinstance(value, float):
         return f"{value:.6g}"
     text = str(value)[:MAX_VALUE_CHARACTERS]
@@ -107,13 +108,13 @@
 
 
 def flush() -> None:
-    """Wait until all lines so far are written, or for `FLUSH_SECONDS`."""
+    """Wait until all lines queued so far are written, but at most `FLUSH_SECONDS`."""
     if _writer is not None:
         _writer.flush(FLUSH_SECONDS)
 
 
 def _standard_output() -> LineWriter:
-    """The one writer of lines to standard output."""
+    """Return the line writer to standard output, which all logs of the process share."""
     global _writer
     if _writer is None:
         _writer = standard_output()
--- a/pipitledge/runtime/ports.py
+++ b/pipitledge/runtime/ports.py
@@ -1,9 +1,9 @@
-"""The boundary between the system's logic and the world.
+"""The ports (interfaces) through which the system's logic reaches the network, disks, clocks and timers.
 
-Logic (replication, membership, configuration, scheduling, agent, ingress) never touches sockets, files, clocks
-or threads. It is given these ports, and is called back through them. All calls into logic, and all callbacks,
-are made one at a time, under one lock of the process in service, and by a queue of events in virtual time.
-Logic must not block.
+The logic (replication, membership, configuration, scheduling, agent, ingress) never uses sockets, files, clocks or
+threads itself. It receives these ports, and is called back through them. All calls into the logic, callbacks included,
+are made one at a time: under a single lock in a real process, and from an event queue in virtual time. The logic must
+not block.
 """
 
 from __future__ import annotations
@@ -18,63 +18,63 @@
 
 
 class Timer(Protocol):
-    """A call that is due at some time."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Drop it; nothing happens if it has run."""
+        """Cancel the call; has no effect if it has run."""
 
 
 class Clock(Protocol):
-    """Time and timers."""
+    """Monotonic time, time of day, and timers."""
 
     def now(self) -> float:
-        """Steady time, seconds."""
+        """Return monotonic time, in seconds."""
 
     def wall_ms(self) -> int:
-        """Time of day, milliseconds since 1970; may jump."""
+        """Return the time of day, in milliseconds since 1970; it may jump."""
 
     def at(self, when: float, action: Callable[[], None]) -> Timer:
-        """Call `action` once steady time reaches `when`."""
+        """Schedule `action` to run once monotonic time reaches `when`."""
 
 
 class Network(Protocol):
     """Messages between the system's own processes."""
 
     def call(self, address: str, request: Message, timeout: float, on_reply: ReplyHandler) -> None:
-        """Send `request` over TCP; `on_reply` gets the answer, or None after a failure or `timeout` seconds.
+        """Send `request` over TCP; `on_reply` receives the reply, or None after a failure or `timeout` seconds.
 
-        After None the request may have been carried out, or may be carried out later.
+        After None, the request may have been carried out, or may still be carried out later.
         """
 
     def datagram(self, address: str, message: Message) -> None:
-        """Send once over UDP; may be lost."""
+        """Send the message once over UDP; it may be lost."""
 
 
 class Disk(Protocol):
-    """What a counted node keeps. Callbacks come in the order of the calls, once the data would survive a power loss.
+    """The durable storage of a voting member. Callbacks run in call order, once the data would survive a power loss.
 
-    A disk that hangs calls back late; one that refuses a write calls nothing back, and the process ends itself.
+    A disk that hangs calls back late. A disk that refuses a write does not call back, and the process ends itself.
     """
 
     def write_epochs(self, record: bytes, on_durable: Callable[[], None]) -> None:
-        """Replace the small record of promises."""
+        """Replace the promise record."""
 
     def append(self, record: bytes, on_durable: Callable[[], None]) -> None:
-        """Add one entry to the log."""
+        """Append one entry to the log."""
 
     def replace(self, snapshot: bytes, on_durable: Callable[[], None]) -> None:
-        """Replace all state and empty the log, atomically."""
+        """Atomically replace all state by `snapshot` and empty the log."""
 
     def wants_snapshot(self) -> bool:
-        """Whether the log has grown so long that `replace` should be called."""
+        """Return whether the log is so long that `replace` should be called."""
 
 
 class WorkerResponse(Struct):
-    """A worker's answer to an agent's call; `status` 0: there was none (the order may still be carried out)."""
+    """A worker's response to an agent's call; `status` 0: no response came, and the order may still be carried out."""
 
     status: int = 0
     body: bytes = b""
-    refused: bool = False  # nothing listens at the worker's address: no connection was made
+    refused: bool = False  # the connection was refused: no process listens at the worker's address
 
 
 class WorkerClient(Protocol):
@@ -83,4 +83,4 @@
     def post(
         self, path: str, body: bytes, instance: str, timeout: float, on_answer: Callable[[WorkerResponse], None]
     ) -> None:
-        """POST JSON to the worker, meant for its life `instance` (empty: any)."""
+        """POST JSON to the worker; only worker instance `instance` should accept it (empty: any instance)."""
--- a/pipitledge/runtime/process_signals.py
+++ b/pipitledge/runtime/process_signals.py
@@ -1,4 +1,4 @@
-"""The main thread of a process: waits for signals, looks at the settings file now and then."""
+"""The main loop of a process: waits for signals, and periodically polls the settings file."""
 
 from __future__ import annotations
 
@@ -10,27 +10,28 @@
 from collections.abc import Callable
 from types import FrameType
 
-POLL_SECONDS = 2.0  # between looks at the settings file
-WAKE_BYTES = 512  # read at once from the pipe that signals write to
+POLL_SECONDS = 2.0  # interval of `on_poll`, which checks the settings file
+WAKE_BYTES = 512  # most bytes read at once from the wakeup pipe
 MS_PER_SECOND = 1000.0
 
 
 class SignalLoop:
-    """Turns signals into calls, made on the main thread outside the signal handler.
+    """Turns signals into calls made on the main thread, outside the signal handler.
 
-    The main thread waits on a pipe that the interpreter writes to in the very signal handler, whichever thread the
-    kernel has handed the signal to: a wait on a lock or queue would not end by a signal that another thread got.
+    The main thread waits on a wakeup pipe, to which the interpreter writes in its C signal handler, whichever thread
+    the kernel delivers the signal to. Waiting on a lock or queue would not be interrupted by a signal that is delivered
+    to another thread.
     """
 
     def __init__(self, on_reload: Callable[[], None], on_poll: Callable[[], None]) -> None:
-        """Call `on_reload` at SIGHUP, and `on_poll` every now and then."""
+        """Call `on_reload` on SIGHUP, and `on_poll` after each `POLL_SECONDS` without a signal."""
         self._on_reload = on_reload
         self._on_poll = on_poll
         self._signals: queue.SimpleQueue[tuple[int, float]] = queue.SimpleQueue()
-        self._wake_read = -1  # the pipe's end to read from
+        self._wake_read = -1  # read end of the wakeup pipe; -1 before `install`
 
     def install(self) -> None:
-        """Take over SIGTERM, SIGINT and SIGHUP."""
+        """Install the handlers of SIGTERM, SIGINT and SIGHUP."""
         self._wake_read, write_end = os.pipe()
         os.set_blocking(self._wake_read, False)
         os.set_blocking(write_end, False)
@@ -39,7 +40,7 @@
             signal.signal(number, self._on_signal)
 
     def run_until_terminated(self) -> float:
-        """Serve signals; return, once the process should end, the steady time at which it was told so."""
+        """Handle signals until SIGTERM or SIGINT; return the monotonic time at which that signal arrived."""
         poller = select.poll()
         poller.register(self._wake_read, select.POLLIN)
         while True:
@@ -52,7 +53,7 @@
                 return terminated_at
 
     def _handle_received(self) -> float | None:
-        """Serve the signals that have come; when the process was told to end, if it was."""
+        """Handle the received signals; return the arrival time of SIGTERM or SIGINT if there was one."""
         while not self._signals.empty():
             number, received_at = self._signals.get()
             if number != signal.SIGHUP:
@@ -61,5 +62,5 @@
         return None
 
     def _on_signal(self, number: int, _frame: FrameType | None) -> None:
-        """Pass the signal on to the main thread's loop."""
+        """Queue the signal for the loop of the main thread."""
         self._signals.put((number, time.monotonic()))
--- a/pipitledge/runtime/settings.py
+++ b/pipitledge/runtime/settings.py
@@ -1,7 +1,7 @@
-"""The settings of a process: read from TOML, checked by `trafaret`, handed on as a frozen, typed value.
+"""The settings of a process: read from TOML, validated by `trafaret`, and returned as a frozen struct.
 
-A key this version doesn't know is ignored, at any depth, and one that is there but empty counts as absent. A file that
-is broken never raises: `load` then returns a `SettingsProblem` that names each wrong key by its place.
+Unknown keys are ignored at any depth, and keys with an empty value count as absent. An invalid file never raises an
+exception: `load` returns a `SettingsProblem` that names each invalid key by its path.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 
 CONFIG_VARIABLE = "PIPITLEDGE_CONFIG"
 DEFAULT_CONFIG_PATH = "/etc/pipitledge/local.toml"
-LAST_PORT = 65535
+MAX_PORT = 65535
 
 
 class SettingsProblem(Struct, frozen=True):
-    """Why there are no settings: `reason` names the places, such as `limits.memoryMb: value is not int`."""
+    """Why settings could not be loaded; `reason` lists key paths, such as `limits.memoryMb: value is not int`."""
 
     path: str
     reason: str
 
     def __str__(self) -> str:
-        """The problem as one line."""
+        """Return the problem on one line."""
         return f"{self.path}: {self.reason}"
 
 
 class BindAddresses(Struct, frozen=True):
-    """Where to listen for calls from outside, as `ip:port`; empty if the role doesn't serve them."""
+    """Addresses (`ip:port`) to listen on for external calls; empty if the role doesn't serve them."""
 
     frontend: str = ""
     readiness: str = ""
@@ -42,7 +42,7 @@
 
 
 class Limits(Struct, frozen=True):
-    """What the machine gives this process."""
+    """The resources of the machine that are available to this process."""
 
     cpu_share: float = 1.0
     cores: int = 1
@@ -53,7 +53,7 @@
 
 
 class FaultTolerance(Struct, frozen=True):
-    """How many counted machines, zones or regions may be lost at once."""
+    """How many voting machines, zones or regions may fail at the same time."""
 
     machines: int = 1
     zones: int = 0
@@ -61,7 +61,7 @@
 
 
 class Bounds(Struct, frozen=True):
-    """The figures of the rules in force; the unit is the end of the name (`far_x` is a factor)."""
+    """Parameters of the deployment's rules; the name ends with the unit (`far_x` is a factor)."""
 
     seed_lag_s: float = 3.0
     reuse_after_s: float = 2.0
@@ -89,19 +89,19 @@
 
 
 class Settings(Struct, frozen=True):
-    """All that a process is told of itself and of the deployment."""
+    """The settings of one process and of its deployment."""
 
     name: str
     role: str
     ip: str
-    internal_ports: tuple[int, int]  # first and last, both usable
+    internal_ports: tuple[int, int]  # first and last port of the range, inclusive
     machine_class: str = ""
     serves: tuple[str, ...] = ()
     zone: str = ""
     region: str = ""
-    seeds: tuple[str, ...] = ()  # control plane addresses of other machines, this one perhaps among them
+    seeds: tuple[str, ...] = ()  # control plane addresses of machines; may include this one
     bootstrap: bool = False
-    counted: bool = False  # takes part in the quorum
+    counted: bool = False  # voting member of the quorum
     data_dir: str = ""  # empty: no disk
     discovery: str = ""
     entry: str = ""
@@ -110,7 +110,7 @@
     commands: str = ""
     app: str = ""
     service: str = ""
-    zones: dict[str, str] = {}  # region by zone
+    zones: dict[str, str] = {}  # maps each zone to its region
     bind: BindAddresses = BindAddresses()
     limits: Limits = Limits()
     tolerance: FaultTolerance = FaultTolerance()
@@ -118,25 +118,25 @@
 
 
 def config_path(environment: Mapping[str, str] | None = None) -> str:
-    """Where the settings file is, by `PIPITLEDGE_CONFIG`."""
+    """Return the path of the settings file: `PIPITLEDGE_CONFIG`, or the default path if that is not set."""
     variables = os.environ if environment is None else environment
     return variables.get(CONFIG_VARIABLE) or DEFAULT_CONFIG_PATH
 
 
 def load(path: str | Path) -> Settings | SettingsProblem:
-    """The settings in the file at `path`."""
-    place = str(path)
+    """Load the settings file at `path`."""
+    location = str(path)
     try:
         text = Path(path).read_bytes().decode()
     except OSError as error:
-        return SettingsProblem(place, f"cannot be read: {error.strerror or error}")
+        return SettingsProblem(location, f"cannot be read: {error.strerror or error}")
     except UnicodeDecodeError as error:
-        return SettingsProblem(place, f"is not UTF-8: {error.reason} at byte {error.start}")
-    return parse(text, place)
+        return SettingsProblem(location, f"is not UTF-8: {error.reason} at byte {error.start}")
+    return parse(text, location)
 
 
 def parse(text: str, path: str = "settings") -> Settings | SettingsProblem:
-    """The settings in a TOML text; `path` is where it came from, for the problem's sake."""
+    """Parse settings from TOML text; `path` is only used in the `SettingsProblem`."""
     try:
         document = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as error:
@@ -149,7 +149,7 @@
 
 
 def _without_empty(table: Mapping[str, Any]) -> dict[str, Any]:
-    """The table without its empty texts, lists and tables, at any depth."""
+    """Return the table without empty strings, lists and tables, at any depth."""
     kept: dict[str, Any] = {}
     for key, value in table.items():
         if isinstance(value, dict):
@@ -159,13 +159,13 @@
     return kept
 
 
-def _reasons(errors: Any, place: str = "") -> list[str]:
-    """Each wrong place with its reason."""
+def _reasons(errors: Any, path: str = "") -> list[str]:
+    """Return one `key.path: reason` per invalid key."""
     if not isinstance(errors, Mapping):
-        return [f"{place}: {errors}" if place else str(errors)]
+        return [f"{path}: {errors}" if path else str(errors)]
     reasons: list[str] = []
     for key, nested in errors.items():
-        reasons += _reasons(nested, f"{place}.{key}" if place else str(key))
+        reasons += _reasons(nested, f"{path}.{key}" if path else str(key))
     return reasons
 
 
@@ -174,7 +174,7 @@
 
 
 def _number(value: Any) -> Any:
-    """Accept a whole number or a fraction, not below 0."""
+    """Accept an integer or float that is not negative."""
     if not _is_number(value):
         return t.DataError("value is not a number")
     if value < 0:
@@ -183,7 +183,7 @@
 
 
 def _integer(value: Any) -> Any:
-    """Accept a whole number not below 0, perhaps written as `3.0`."""
+    """Accept an integer that is not negative; it may be written as `3.0`."""
     if not _is_number(value) or value != int(value):
         return t.DataError("value is not int")
     if value < 0:
@@ -192,14 +192,14 @@
 
 
 def _optional_number(value: Any) -> Any:
-    """Accept a number, or true or false, which give no figure."""
+    """Accept a number; a boolean counts as absent."""
     return None if isinstance(value, bool) else _number(value)
 
 
 def _port(value: Any) -> Any:
-    """Accept the number of a port."""
+    """Accept a port number."""
     port = _integer(value)
-    if isinstance(port, int) and not 0 < port <= LAST_PORT:
+    if isinstance(port, int) and not 0 < port <= MAX_PORT:
         return t.DataError("value is not a port")
     return port
 
@@ -209,13 +209,13 @@
     if not isinstance(value, str):
         return t.DataError("value is not a string")
     host, _, port = value.rpartition(":")
-    if not host or not port.isdecimal() or not 0 < int(port) <= LAST_PORT:
+    if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         return t.DataError("value is not ip:port")
     return value
 
 
 def _ascending(ports: tuple[int, int]) -> Any:
-    """Accept a range whose end doesn't lie before its start."""
+    """Accept a port range whose first port is not above the last."""
     return ports if ports[0] <= ports[1] else t.DataError("the first port is above the last")
 
 
@@ -224,23 +224,23 @@
 
 
 def _camel(name: str) -> str:
-    """Spell `memory_mb` as the file does: `memoryMb`."""
+    """Convert snake case to the camel case of the file: `memory_mb` to `memoryMb`."""
     first, *rest = name.split("_")
     return first + "".join(word.capitalize() for word in rest)
 
 
 def _key(name: str, field: str = "", optional: bool = True) -> t.Key:
-    """Read the key `name` of the file into `field` (by default the same name in snake case)."""
+    """Map the key `name` of the file to the struct field `field` (default: the same name)."""
     return t.Key(name, to_name=field or name, optional=optional)
 
 
 def _table(checks: Mapping[str, Any]) -> t.Trafaret:
-    """Check a table by its fields; keys are their names in camel case, others are ignored."""
+    """Return a validator for a table whose keys are the field names in camel case; other keys are ignored."""
     return t.Dict({_key(_camel(field), field): check for field, check in checks.items()}, ignore_extra="*")
 
 
 def _bounds_table() -> t.Trafaret:
-    """Check the bounds, whose keys are in either case."""
+    """Return the validator for the bounds, whose keys may be in snake case or camel case."""
     keys: dict[t.Key, Any] = {}
     for field in Bounds.__struct_fields__:
         keys[_key(field)] = _optional_number
--- a/pipitledge/runtime/settings_watcher.py
+++ b/pipitledge/runtime/settings_watcher.py
@@ -1,4 +1,4 @@
-"""Follows the settings file: a changed one is loaded, a broken one is logged and the last good settings stay."""
+"""Reloads the settings file when it changes; an invalid file is logged, and the last valid settings stay in force."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class _FileStamp(Struct, frozen=True):
-    """What tells one state of a file from another."""
+    """File metadata that changes when the file is modified or replaced."""
 
     modified_ns: int
     size: int
@@ -23,29 +23,29 @@
 
 
 class SettingsWatcher:
-    """The settings in force."""
+    """Holds the settings in force (`current`) and reloads them from the file."""
 
     def __init__(self, path: str, current: Settings, log: EventLog, load: Load = settings_file.load) -> None:
-        """Begin with `current`, which was read from `path`; the first look reads it again, as it may have changed."""
+        """Start with `current`, which was read from `path`; the first `poll` reads the file again, in case it changed."""
         self._path = path
         self._log = log
         self._load = load
         self._stamp: _FileStamp | None = None
-        self._last_read_valid = True  # what was read last
+        self._last_read_valid = True
         self.current = current
 
     def poll(self) -> Settings | None:
-        """New settings, if the file has changed since the last look and says something else."""
+        """Reload the file if it changed since the last poll; return the settings if they differ from the current ones."""
         stamp = self._file_stamp()
         if stamp == self._stamp:
             return None
         loaded = self.reload()
         if self._last_read_valid:
-            self._stamp = stamp  # else it is read again: it may have been unreadable for a moment only
+            self._stamp = stamp  # otherwise the next poll retries: the file may only be unreadable for a moment
         return loaded
 
     def reload(self) -> Settings | None:
-        """Read the file; new settings if it is sound and says something else."""
+        """Read the file; return the settings if they are valid and differ from the current ones."""
         loaded = self._load(self._path)
         if isinstance(loaded, SettingsProblem):
             self._log.error("settings_broken", step="reload", path=loaded.path, reason=loaded.reason)
@@ -59,7 +59,7 @@
         return loaded
 
     def _file_stamp(self) -> _FileStamp | None:
-        """The file's stamp; None if there is no file."""
+        """Return the metadata of the file; None if it can't be read."""
         try:
             found = os.stat(self._path)
         except OSError:
--- a/pipitledge/runtime/slot_files.py
+++ b/pipitledge/runtime/slot_files.py
@@ -1,7 +1,7 @@
-"""Records that fill a file each, and are written to two files in turn so that a valid one always remains.
+"""Records kept in a pair of files (slots) that are written alternately, so that one valid record always remains.
 
-A record is `magic, counter, length, checksum, payload`; what lies behind the payload is left from longer records.
-The checksum covers all the rest, so a record that was torn is told from one that was written whole.
+Each file holds one record: `magic, counter, length, checksum, payload`. Bytes after the payload are remains of an
+older, longer record. The checksum covers all other fields, so a partially written record is detected.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 
 
 class SlotRecord(Struct, frozen=True):
-    """What a slot holds; the record with the higher counter is the newer."""
+    """The record in a slot; the record with the higher counter is newer."""
 
     counter: int
     payload: bytes
 
 
 def encode_header(magic: bytes, record: SlotRecord) -> bytes:
-    """The bytes that go before the payload."""
+    """Return the encoded header, which precedes the payload."""
     fields = _FIELDS.pack(magic, record.counter, len(record.payload))
     return fields + _CHECKSUM.pack(_checksum(fields, record.payload))
 
 
 def decode(magic: bytes, content: bytes) -> SlotRecord | None:
-    """The record in a file of that content; None if there is no valid one."""
+    """Decode the record in the content of a slot file; return None if it is invalid."""
     if len(content) < HEADER_BYTES:
         return None
     found_magic, counter, length = _FIELDS.unpack_from(content)
@@ -47,7 +47,7 @@
 
 
 def newest(records: tuple[SlotRecord | None, SlotRecord | None]) -> int | None:
-    """Which of the two slots holds the newer valid record; None if neither does."""
+    """Return the index of the slot with the newer valid record; None if both are invalid."""
     first, second = records
     if first is None and second is None:
         return None
--- a/pipitledge/runtime/storage.py
+++ b/pipitledge/runtime/storage.py
@@ -1,15 +1,16 @@
-"""What a counted node keeps on its disk: a small record of promises, a snapshot, and a log of entries.
+"""The durable storage of a voting member: a small promise record (epochs), a snapshot, and a log of entries.
 
-Six files, two of each kind. `epochs-*` and `state-*` are slots written in turn (`slots`); `log-N` is the log that
-follows the snapshot in `state-N` (`log_file`). Only the files that nothing valid rests on are ever overwritten:
+There are six files, two of each kind. `epochs-*` and `state-*` are slots written alternately (see `slot_files`);
+`log-N` is the log that follows the snapshot in `state-N` (see `log_file`). A file that holds current data is never
+overwritten:
 
-- Promises go to the slot that doesn't hold the newest ones.
-- A new snapshot first resets the log beside the other slot, then takes that slot. It replaces the older snapshot and
-  its log the moment it is valid, and by then its own log is ready on disk.
-- A new folder is formatted before anything is kept in it; a valid record of promises marks it as formatted.
+- The promise record is written to the slot that doesn't hold the newest record.
+- To write a snapshot, the log of the unused slot is reset first, and then the snapshot is written to that slot. It
+  replaces the older snapshot and its log as soon as it is valid; its own log is already on disk by then.
+- A new folder is formatted before data is written to it; a valid promise record marks it as formatted.
 
-All calls block until the data would survive a loss of power, and raise OSError if the disk refuses. After that the
-same call is to be made again, before any other: it writes the same bytes to the same place.
+All calls block until the data would survive a power loss, and raise OSError if the disk reports an error. After an
+error the same call must be repeated before any other call; it writes the same bytes to the same offsets.
 """
 
 from __future__ import annotations
@@ -26,36 +27,38 @@
 MIB = 1024 * KIB
 DEFAULT_LOG_BYTES = MIB
 MIN_LOG_BYTES = 64 * KIB
-LOG_DISK_DIVISOR = 16  # two logs and two snapshots are to stay below half of the disk
+LOG_DISK_DIVISOR = 16  # so that two logs and two snapshots stay below half of the disk
 EPOCHS_NAMES = ("epochs-0", "epochs-1")
 STATE_NAMES = ("state-0", "state-1")
 LOG_NAMES = ("log-0", "log-1")
 
 _FIRST_SLOT = 0
-_FORMATTED = SlotRecord(0, b"")  # promises: none; state: none yet, its log follows an empty one
+_FORMATTED = SlotRecord(
+    0, b""
+)  # counter 0 marks an empty slot: no promises were made, or there is no snapshot before the log
 
 
 class RecoveredData(Struct, frozen=True):
-    """What was found on the disk."""
+    """The data found on the disk."""
 
     epochs: bytes | None = None
     snapshot: bytes | None = None
-    entries: list[bytes] = []  # those that follow the snapshot
-    fresh: bool = False  # nothing was ever kept here, or the disk was lost since
-    corrupt: str = ""  # why what was kept can't be read; nothing else is filled in then
+    entries: list[bytes] = []  # log entries after the snapshot
+    fresh: bool = False  # the folder is empty: it is new, or its data was lost
+    corrupt: str = ""  # why the data can't be read; the other fields are unset then
 
 
 class DiskDamage(Struct, frozen=True):
-    """Why what was kept can't be read."""
+    """Why the data on the disk can't be read."""
 
     reason: str
 
 
 class Store:
-    """The files of one folder; not for use by two threads at once."""
+    """The storage files of one folder; not thread-safe."""
 
     def __init__(self, folder: str, file_system: FileSystem | None = None) -> None:
-        """Keep everything in `folder`; nothing is touched before `open`."""
+        """Use `folder` for all files; the disk is not accessed before `open`."""
         self._folder = folder
         self._file_system: FileSystem = file_system or OsFileSystem()
         self._epochs_files: list[File] = []
@@ -70,14 +73,14 @@
 
     @property
     def log_bytes(self) -> int:
-        """Length of the log."""
+        """Length of the log, in bytes."""
         return self._log_end
 
     def open(self) -> RecoveredData:
-        """Open the files and read what they hold. What is found corrupt is left as it is until `format`."""
+        """Open the files and read their content. Corrupt files are left unchanged until `format`."""
         self.close()
         self._open_files()
-        # What a killed process wrote may not be on disk yet. It has to be, before anything is built on it.
+        # Writes of a killed process may not be on disk yet. They must be durable before they are relied on.
         self._sync_all()
         epochs = self._read_slots(self._epochs_files, EPOCHS_MAGIC)
         if epochs is None:
@@ -96,8 +99,10 @@
         return _recovered(promises, snapshot, log.entries)
 
     def format(self) -> None:
-        """Forget everything: make the folder one in which nothing was ever kept."""
-        for file in self._all_files():  # the promises first: without them the rest is never taken for a store
+        """Erase all data; the folder is then equivalent to a new one."""
+        for (
+            file
+        ) in self._all_files():  # the promise records first: without them the other files are never read as valid data
             if file.read_all():
                 file.truncate(0)
                 file.sync()
@@ -111,7 +116,7 @@
         _write_slot(self._epochs_files[_FIRST_SLOT], EPOCHS_MAGIC, _FORMATTED)
 
     def write_epochs(self, record: bytes) -> None:
-        """Replace the record of promises."""
+        """Replace the promise record."""
         slot = 1 - self._epochs_slot
         counter = self._epochs_counter + 1
         _write_slot(self._epochs_files[slot], EPOCHS_MAGIC, SlotRecord(counter, record))
@@ -119,7 +124,7 @@
         self._epochs_counter = counter
 
     def append(self, records: Sequence[bytes]) -> None:
-        """Add entries to the log, by one write and one sync."""
+        """Append entries to the log with one write and one sync."""
         durable = self._entry_count
         encoded = [
             log_file.encode_entry(self._generation, number, durable, record)
@@ -133,7 +138,7 @@
         self._entry_count += len(records)
 
     def replace(self, snapshot: bytes) -> None:
-        """Replace all state, and empty the log."""
+        """Replace all state by `snapshot` and empty the log."""
         slot = 1 - self._state_slot
         generation = self._generation + 1
         self._reset_log(slot, generation)
@@ -143,7 +148,7 @@
         self._use_empty_log()
 
     def close(self) -> None:
-        """Close the files."""
+        """Close all files."""
         for file in self._all_files():
             file.close()
         self._epochs_files = []
@@ -169,14 +174,14 @@
         self._file_system.sync_folder(self._folder)
 
     def _open_unformatted(self) -> RecoveredData:
-        """Format the folder, unless it holds what only a formatted one can."""
-        if self._was_used():
+        """Format the folder, unless it contains data, which shows that its promise records were lost."""
+        if self._has_data():
             return RecoveredData(corrupt="no valid record of promises")
         self.format()
         return RecoveredData(fresh=True)
 
-    def _was_used(self) -> bool:
-        """Whether the folder was formatted at some time, and something was kept in it."""
+    def _has_data(self) -> bool:
+        """Return whether the folder contains a snapshot or log entries."""
         state = self._read_slots(self._state_files, SNAPSHOT_MAGIC)
         if state is not None and state[1].counter > _FORMATTED.counter:
             return True
@@ -184,14 +189,14 @@
         return any(log is not None and bool(log.entries or log.damaged) for log in logs)
 
     def _read_slots(self, files: list[File], magic: bytes) -> tuple[int, SlotRecord] | None:
-        """The newest valid record, with its slot."""
+        """Return the newest valid record with the index of its slot."""
         records = (slot_files.decode(magic, files[0].read_all()), slot_files.decode(magic, files[1].read_all()))
         slot = slot_files.newest(records)
         record = None if slot is None else records[slot]
         return None if slot is None or record is None else (slot, record)
 
     def _find_log(self, slot: int, snapshot: SlotRecord) -> log_file.LogContent | DiskDamage:
-        """The log of the newest snapshot, once nothing shows that a newer snapshot was lost."""
+        """Return the log that follows the newest valid snapshot, or the damage if entries or a newer snapshot are lost."""
         log = log_file.decode(self._log_files[slot].read_all())
         if log is None or log.generation != snapshot.counter:
             return DiskDamage(f"{LOG_NAMES[slot]}: no valid header")
@@ -203,7 +208,7 @@
         return log
 
     def _cut_torn_tail(self, log: log_file.LogContent) -> None:
-        """Go on behind the last valid entry; what was left behind it must never be read again."""
+        """Truncate the log after its last valid entry, so that a partially written entry is never read later."""
         file = self._log_files[self._state_slot]
         file.truncate(log.end)
         file.sync()
@@ -211,7 +216,7 @@
         self._entry_count = len(log.entries)
 
     def _reset_log(self, slot: int, generation: int) -> None:
-        """Empty the log beside a slot that isn't in use."""
+        """Empty the log of a slot that isn't in use."""
         file = self._log_files[slot]
         file.write_at(0, log_file.encode_header(generation))
         file.truncate(log_file.HEADER_BYTES)
@@ -223,14 +228,14 @@
 
 
 def log_limit(disk_mb: int) -> int:
-    """How long the log may grow, in bytes, on a disk of that size (0: unknown) before a snapshot is due."""
+    """Return the log length in bytes at which a snapshot is due, for a disk of that size (0: unknown)."""
     if disk_mb <= 0:
         return DEFAULT_LOG_BYTES
     return max(MIN_LOG_BYTES, min(DEFAULT_LOG_BYTES, disk_mb * MIB // LOG_DISK_DIVISOR))
 
 
 def _recovered(promises: SlotRecord, snapshot: SlotRecord, entries: list[bytes]) -> RecoveredData:
-    """What was kept; a folder that was formatted and no more is still fresh."""
+    """Build the result of `open`; a folder that is formatted but has no data counts as fresh."""
     epochs = promises.payload if promises.counter > _FORMATTED.counter else None
     state = snapshot.payload if snapshot.counter > _FORMATTED.counter else None
     fresh = epochs is None and state is None and not entries
@@ -238,7 +243,7 @@
 
 
 def _write_slot(file: File, magic: bytes, record: SlotRecord) -> None:
-    """Write a record over an older one and sync it."""
+    """Overwrite the record in a slot file and sync it."""
     file.write_at(0, slot_files.encode_header(magic, record))
     file.write_at(slot_files.HEADER_BYTES, record.payload)
     file.truncate(slot_files.HEADER_BYTES + len(record.payload))
--- a/pipitledge/runtime/thread_starter.py
+++ b/pipitledge/runtime/thread_starter.py
@@ -1,8 +1,8 @@
-"""Starts threads on a thread of its own.
+"""Starts threads from a dedicated thread.
 
-`Thread.start` waits until the new thread has had its first turn, which takes seconds on a machine with too much to do.
-Threads that others wait for, like the one that watches connections or one that holds the lock of all logic, have
-theirs started here.
+`Thread.start` blocks until the new thread runs for the first time, which takes seconds on an overloaded machine.
+Threads that must not block, such as the event thread of a server or a thread that holds the executor's lock, start
+new threads through this module.
 """
 
 from __future__ import annotations
@@ -11,27 +11,27 @@
 import threading
 import time
 
-RETRY_SECONDS = 0.05  # after a thread could not be started
+RETRY_SECONDS = 0.05  # pause after a thread could not be started
 
 
 class ThreadStarter:
-    """Starts threads in the order in which they are handed over."""
+    """Starts threads in the order in which they are submitted; a thread that fails to start is retried last."""
 
     def __init__(self) -> None:
-        """Have no thread yet; it is started with the first one handed over."""
+        """Create the starter; its own thread is started by `prepare` or by the first call of `start`."""
         self._waiting: queue.SimpleQueue[threading.Thread] = queue.SimpleQueue()
         self._lock = threading.Lock()
         self._thread: threading.Thread | None = None
 
     def prepare(self) -> None:
-        """Start the thread that starts others; waits for it, so that nobody does later."""
+        """Start the starter's own thread and wait for it, so that later calls of `start` don't block."""
         with self._lock:
             if self._thread is None:
                 self._thread = threading.Thread(target=self._serve, name="starter", daemon=True)
                 self._thread.start()
 
     def start(self, thread: threading.Thread) -> None:
-        """Have `thread` started soon; does not wait."""
+        """Queue `thread` to be started; does not wait until it runs."""
         if self._thread is None:
             self.prepare()
         self._waiting.put(thread)
@@ -41,9 +41,9 @@
             thread = self._waiting.get()
             try:
                 thread.start()
-            except RuntimeError:  # the system has no room for one more thread just now
+            except RuntimeError:  # the system can't create another thread at the moment
                 self._waiting.put(thread)
                 time.sleep(RETRY_SECONDS)
 
 
-starter = ThreadStarter()  # of this process
+starter = ThreadStarter()  # shared by the whole process
--- a/pipitledge/runtime/timers.py
+++ b/pipitledge/runtime/timers.py
@@ -1,4 +1,4 @@
-"""Timers by due time, and the thread that waits for the next one."""
+"""A priority queue of timers, ordered by due time, with a blocking wait for the next one."""
 
 from __future__ import annotations
 
@@ -8,48 +8,48 @@
 
 Action = Callable[[], None]
 
-MAX_CANCELLED = 64  # cancelled timers that may stay in the heap before it is rebuilt
+MAX_CANCELLED = 64  # cancelled timers kept in the heap before it may be rebuilt
 
 
 class ScheduledAction:
-    """An action with its due time; `cancel` drops the action, the heap forgets it later."""
+    """An action with its due time; after `cancel` the timer stays in the heap for a while, without its action."""
 
     __slots__ = ("_action", "_order", "_queue", "when")
 
     def __init__(self, queue: TimerQueue, when: float, order: int, action: Action) -> None:
-        """Make the timer; only `TimerQueue.add` does."""
+        """Create the timer; called by `TimerQueue.add` only."""
         self.when = when
         self._order = order
         self._queue = queue
         self._action: Action | None = action
 
     def __lt__(self, other: ScheduledAction) -> bool:
-        """Whether it goes first: by due time, then by the order in which timers were added."""
+        """Order by due time, then by the order in which timers were added."""
         return (self.when, self._order) < (other.when, other._order)
 
     @property
     def pending(self) -> bool:
-        """Whether it has neither run nor been cancelled."""
+        """Whether the action has neither run nor been cancelled."""
         return self._action is not None
 
     def cancel(self) -> None:
-        """Drop the action; nothing happens if it has run."""
+        """Cancel the action; has no effect if it has run."""
         if self._action is not None:
             self._action = None
             self._queue.count_cancelled()
 
     def fire(self) -> None:
-        """Run the action, unless it was cancelled."""
+        """Run the action unless it was cancelled."""
         action, self._action = self._action, None
         if action is not None:
             action()
 
 
 class TimerQueue:
-    """A heap of timers. Any thread may add; one thread takes what is due."""
+    """A heap of timers. Any thread may add timers; a single thread takes those that are due."""
 
     def __init__(self, now: Callable[[], float]) -> None:
-        """Use `now` for steady time in seconds."""
+        """Create an empty queue; `now` returns monotonic time in seconds."""
         self._now = now
         self._changed = threading.Condition(threading.Lock())
         self._heap: list[ScheduledAction] = []
@@ -58,11 +58,11 @@
         self._closed = False
 
     def __len__(self) -> int:
-        """How many timers are in the heap, cancelled ones that it has not forgotten yet included."""
+        """Return the number of timers in the heap, including cancelled timers not removed yet."""
         return len(self._heap)
 
     def add(self, when: float, action: Action) -> ScheduledAction:
-        """Have `action` due at steady time `when`."""
+        """Add a timer that is due at monotonic time `when`."""
         with self._changed:
             self._order += 1
             timer = ScheduledAction(self, when, self._order, action)
@@ -72,7 +72,7 @@
         return timer
 
     def count_cancelled(self) -> None:
-        """Count a cancelled timer, and rebuild the heap once most of it is cancelled."""
+        """Count a cancelled timer, and rebuild the heap once more than half of its timers are cancelled."""
         with self._changed:
             self._cancelled += 1
             if self._cancelled > MAX_CANCELLED and self._cancelled * 2 > len(self._heap):
@@ -81,7 +81,7 @@
                 self._cancelled = 0
 
     def take_due(self) -> ScheduledAction | None:
-        """The first timer that is due now, taken out of the heap."""
+        """Remove and return the first timer if it is due; return None otherwise."""
         with self._changed:
             self._drop_cancelled()
             if self._heap and self._heap[0].when <= self._now():
@@ -89,7 +89,7 @@
         return None
 
     def wait_due(self) -> ScheduledAction | None:
-        """Wait until a timer is due and take it; None once closed."""
+        """Wait until a timer is due, remove it and return it; return None once the queue is closed."""
         while not self._closed:
             timer = self.take_due()
             if timer is not None:
@@ -98,13 +98,13 @@
         return None
 
     def close(self) -> None:
-        """End `wait_due`."""
+        """Make `wait_due` return None."""
         with self._changed:
             self._closed = True
             self._changed.notify_all()
 
     def _wait_for_first(self) -> None:
-        """Wait until the first timer is due, or another one has come before it."""
+        """Wait until the first timer is due, or an earlier timer is added."""
         with self._changed:
             self._drop_cancelled()
             if self._closed:
@@ -112,12 +112,12 @@
             if not self._heap:
                 self._changed.wait()
                 return
-            left = self._heap[0].when - self._now()
-            if left > 0:
-                self._changed.wait(left)
+            remaining = self._heap[0].when - self._now()
+            if remaining > 0:
+                self._changed.wait(remaining)
 
     def _drop_cancelled(self) -> None:
-        """Forget cancelled timers at the head of the heap."""
+        """Remove cancelled timers from the top of the heap."""
         while self._heap and not self._heap[0].pending:
             heapq.heappop(self._heap)
             self._cancelled = max(0, self._cancelled - 1)
--- a/pipitledge/runtime/transport.py
+++ b/pipitledge/runtime/transport.py
@@ -1,4 +1,4 @@
-"""Messages between the system's own processes: HTTP and datagrams on the same number of port."""
+"""Messages between processes of the system: HTTP and UDP datagrams, both on the same port number."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from pipitledge.runtime.ports import ReplyHandler
 from pipitledge.wire import codec
 
-IDLE_SECONDS = 120.0  # peers keep their connections
+IDLE_SECONDS = 120.0  # peers keep their connections open between calls
 INCARNATION_BYTES = 6
 
 
 class NoFreePortError(OSError):
-    """All internal ports are taken."""
+    """All ports of the internal port range are in use."""
 
 
 class Transport:
-    """Implements the port `Network`, and answers other processes' messages."""
+    """Implements the port `Network`, and answers messages from other processes."""
 
     def __init__(self, executor: SerialExecutor, handlers: Handlers, log: EventLog, connections: int = 1024) -> None:
-        """Answer by `handlers`, and keep at most `connections` that others made."""
+        """Dispatch received messages to `handlers`; keep at most `connections` incoming connections open."""
         self._executor = executor
         self._handlers = handlers
         self._log = log
@@ -45,17 +45,19 @@
             connections=connections,
         )
         self._calls = HttpClient(executor, "calls", CallLimits())
-        self._deflate_peers: set[str] = set()  # addresses whose last answer said so; versions before this one don't
+        self._deflate_peers: set[str] = (
+            set()
+        )  # addresses whose last response accepted deflated requests; earlier versions don't
         self._incarnation = secrets.token_hex(
             INCARNATION_BYTES
-        )  # tells calls of this process from those of others at its address
+        )  # prefix of call ids, different for each process that uses this address
         self._call_numbers = itertools.count(1)
         self._server: HttpServer
         self.datagrams: DatagramSocket
-        self.address = ""  # "ip:port", once bound
+        self.address = ""  # "ip:port"; empty before `bind`
 
     def bind(self, ip: str, ports: tuple[int, int]) -> None:
-        """Take the first port of the range that is free over TCP and UDP alike."""
+        """Bind the first port of the range that is free for both TCP and UDP."""
         for port in range(ports[0], ports[1] + 1):
             try:
                 self._bind_port(ip, port)
@@ -65,22 +67,22 @@
         raise NoFreePortError(f"{ip}: no free port from {ports[0]} to {ports[1]}")
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start answering messages."""
         self._server.start()
         self.datagrams.start()
 
     def stop(self) -> None:
-        """Close everything."""
+        """Stop answering messages and close all connections."""
         self.datagrams.stop()
         self._server.stop()
         self._calls.close()
 
     def busy(self) -> int:
-        """Messages of others that are being answered."""
+        """Return the number of received calls that are being answered."""
         return self._server.busy()
 
     def call(self, address: str, request: Struct, timeout: float, on_reply: ReplyHandler) -> None:
-        """Send over HTTP; `on_reply` gets the answer, or None after a failure or `timeout` seconds."""
+        """Send `request` over HTTP; `on_reply` receives the reply, or None after a failure or `timeout` seconds."""
 
         def on_result(result: CallResult) -> None:
             self._record_encoding(address, result)
@@ -92,11 +94,11 @@
         self._calls.post(OutgoingCall(address, INTERNAL_PATH, body.data, timeout, headers, call_id), on_result)
 
     def datagram(self, address: str, message: Struct) -> None:
-        """Send once over UDP; may be lost."""
+        """Send the message once over UDP; it may be lost."""
         self.datagrams.send(address, message)
 
     def _bind_port(self, ip: str, port: int) -> None:
-        """Take one port over both protocols, or neither."""
+        """Bind one port for both protocols, or for neither."""
         server = HttpServer(ip, port, self.exchange, self._options, self._log)
         datagrams = DatagramSocket(self._executor, self._handlers.datagram, self._log)
         try:
@@ -111,14 +113,14 @@
         self.address = f"{ip}:{server.port}"
 
     def _record_encoding(self, address: str, result: CallResult) -> None:
-        """Remember whether requests to `address` may be deflated."""
+        """Record whether requests to `address` may be deflated."""
         if result.accepts_deflate:
             self._deflate_peers.add(address)
         elif result.status:
             self._deflate_peers.discard(address)
 
     def _decoded(self, result: CallResult, request: Struct, address: str) -> Struct | None:
-        """The reply, or None."""
+        """Decode the reply; return None if there is none or it is malformed."""
         if result.status == OK:
             try:
                 return codec.decode(result.body)
--- a/pipitledge/runtime/worker_client.py
+++ b/pipitledge/runtime/worker_client.py
@@ -1,4 +1,4 @@
-"""An agent's calls to the worker on its machine; implements the port `WorkerCalls`."""
+"""The client by which an agent calls the worker on its machine; implements the port `WorkerClient`."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from pipitledge.runtime.http_client import CallResult, HttpClient, OutgoingCall
 from pipitledge.runtime.ports import WorkerResponse
 
-CONCURRENT_CALLS = 8  # connections to a worker are kept, and each new one has its price
+CONCURRENT_CALLS = 8  # also the number of connections kept open, because each new connection is costly
 HEADERS = {"Content-Type": "application/json"}
 INSTANCE_HEADER = "X-Expect-Instance"
 
 
 class HttpWorkerClient:
-    """Posts JSON to one worker over kept connections."""
+    """Posts JSON to one worker over pooled connections."""
 
     def __init__(self, executor: SerialExecutor, address: str) -> None:
-        """Call the worker at `address` ("ip:port")."""
+        """Create a client for the worker at `address` ("ip:port")."""
         limits = CallLimits(
             threads=CONCURRENT_CALLS,
             per_address=CONCURRENT_CALLS,
@@ -31,7 +31,7 @@
     def post(
         self, path: str, body: bytes, instance: str, timeout: float, on_answer: Callable[[WorkerResponse], None]
     ) -> None:
-        """POST JSON to the worker, meant for its life `instance` (empty: any)."""
+        """POST JSON to the worker; only worker instance `instance` should accept it (empty: any instance)."""
         headers = {**HEADERS, INSTANCE_HEADER: instance} if instance else HEADERS
 
         def on_result(result: CallResult) -> None:
@@ -40,5 +40,5 @@
         self._calls.post(OutgoingCall(self._address, path, body, timeout, headers), on_result)
 
     def close(self) -> None:
-        """Close kept connections."""
+        """Close the pooled connections."""
         self._calls.close()
--- a/tests/system/disk_model.py
+++ b/tests/system/disk_model.py
@@ -1,8 +1,8 @@
-"""A disk for tests that behaves as badly at a loss of power as a real one may.
+"""A model of a disk for tests, which simulates the worst that a power loss may do to a real disk.
 
-What a sync covered is kept. Every later change of a file is kept, lost or torn, each by itself, or all are lost; a
-file whose folder wasn't synced since it was made is kept or lost. The process that uses the disk can be ended at any
-operation (`end_at`), and operations can be refused.
+Synced data survives. Each later change of a file independently survives, is lost or is torn, or all of them are lost.
+A file whose folder was not synced since the file was created survives or is lost. The process that uses the disk can be
+killed at any operation (`kill_at`), and operations can be made to fail.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 
 
 class ProcessKilled(Exception):
-    """The process has ended in the middle of an operation."""
+    """Simulates that the process is killed in the middle of an operation."""
 
 
 @dataclass
 class FileChange:
-    """A write, or (`data` None) a new length."""
+    """A write, or a truncation to `offset` if `data` is None."""
 
     offset: int
     data: bytes | None
     synced: bool = False
-    refused: bool = False  # its sync failed: a later sync needn't cover it
+    refused: bool = False  # its sync failed, so a later successful sync may not cover it
 
 
 class PowerLossOutcome:
-    """What a loss of power does to what wasn't synced."""
+    """Decides what a power loss does to unsynced changes and names."""
 
     def keeps_name(self) -> bool:
         raise NotImplementedError
@@ -38,7 +38,7 @@
 
 
 class LoseAll(PowerLossOutcome):
-    """Nothing that wasn't synced is kept."""
+    """All unsynced changes are lost."""
 
     def keeps_name(self) -> bool:
         return False
@@ -48,7 +48,7 @@
 
 
 class KeepAll(PowerLossOutcome):
-    """All of it is kept."""
+    """All unsynced changes survive."""
 
     def keeps_name(self) -> bool:
         return True
@@ -58,14 +58,14 @@
 
 
 class LoseNamesOnly(KeepAll):
-    """Changes are kept, but new files are lost."""
+    """Unsynced changes survive, but files whose folder entry was not synced are lost."""
 
     def keeps_name(self) -> bool:
         return False
 
 
 class RandomOutcome(PowerLossOutcome):
-    """Each is kept, lost or torn, as the seed has it."""
+    """Each unsynced change survives, is lost or is torn, chosen at random by the seed."""
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
@@ -94,7 +94,7 @@
 
 @dataclass
 class ModelInode:
-    """A file on the disk."""
+    """A file on the disk: its durable content and the changes not synced yet."""
 
     durable: bytes = b""
     changes: list[FileChange] = field(default_factory=list)
@@ -121,7 +121,7 @@
 
 
 def apply(content: bytes, changes: list[FileChange]) -> bytes:
-    """The content once those changes are made."""
+    """Return the content after the changes are applied in order."""
     changed = bytearray(content)
     for change in changes:
         end = change.offset if change.data is None else change.offset + len(change.data)
@@ -135,17 +135,17 @@
 
 
 class ModelDisk:
-    """A disk with one folder; it outlives the processes that use it."""
+    """A disk with one folder; it survives the processes that use it."""
 
     def __init__(self) -> None:
         self.inodes: dict[str, ModelInode] = {}
-        self.operations = 0  # those that change or sync something
+        self.operations = 0  # number of operations that change or sync data
         self.syncs = 0
-        self.kill_at = -1  # the operation at which the process ends
-        self.refusals = 0  # so many operations from now on are refused
+        self.kill_at = -1  # index of the operation at which the process is killed; -1: never
+        self.refusals = 0  # number of operations that fail from now on
 
     def lose_power(self, power_loss: PowerLossOutcome) -> None:
-        """Leave only what a loss of power leaves."""
+        """Keep only what survives a power loss with this outcome."""
         survivors: dict[str, ModelInode] = {}
         for name, inode in self.inodes.items():
             if inode.name_durable or power_loss.keeps_name():
@@ -156,7 +156,7 @@
         self.inodes = {}
 
     def make_folder(self, folder: str) -> None:
-        """There is one folder, and it is there."""
+        """Do nothing: the only folder always exists."""
 
     def open(self, folder: str, name: str) -> ModelFile:
         if name not in self.inodes:
@@ -226,4 +226,4 @@
         self._disk.sync(self._inode)
 
     def close(self) -> None:
-        """Nothing is held."""
+        """Do nothing: an open file holds no resources."""
--- a/tests/system/runtime_case.py
+++ b/tests/system/runtime_case.py
@@ -1,4 +1,4 @@
-"""What tests of the runtime share: waiting for events of other threads, and a server on loopback."""
+"""Shared by the tests of the runtime: waiting for events of other threads, and an HTTP server on loopback."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from pipitledge.runtime.http_types import HttpRequest, HttpResponse, Respond
 
 LOOPBACK = "127.0.0.1"
-WAIT_SECONDS = 30.0  # seconds; a bound for broken code, never waited for
+WAIT_SECONDS = 30.0  # a test fails after this time; passing tests never wait for it
 LOG = logs.get("test_runtime")
 T = TypeVar("T")
 
 
 class ResultBox(Generic[T]):
-    """Takes one value from another thread."""
+    """Passes one value from another thread to the test."""
 
     def __init__(self) -> None:
         self._arrived = threading.Event()
@@ -36,7 +36,7 @@
 
     def take(self) -> T:
         if not self._arrived.wait(WAIT_SECONDS):
-            raise AssertionError("nothing arrived")
+            raise AssertionError("no value arrived in time")
         return self._values[0]
 
     def empty(self) -> bool:
@@ -44,16 +44,16 @@
 
 
 def eventually(condition: Callable[[], bool]) -> None:
-    """Let other threads run until `condition` holds."""
+    """Yield to other threads until `condition` is true; fail after `WAIT_SECONDS`."""
     give_up_at = time.monotonic() + WAIT_SECONDS
     while not condition():
         if time.monotonic() > give_up_at:
-            raise AssertionError("it never came about")
+            raise AssertionError("the condition did not become true in time")
         os.sched_yield()
 
 
 class HttpServerCase(unittest.TestCase):
-    """A public server with one thread, unless a test asks for more."""
+    """Runs an HTTP server with one request thread; tests may start a larger one."""
 
     def setUp(self) -> None:
         self.executor = SerialExecutor(LOG)
@@ -79,14 +79,14 @@
         return connection
 
     def statuses(self, data: bytes, count: int = 1) -> list[int]:
-        """The statuses of the responses to `data`, sent over one connection."""
+        """Send `data` over one connection, and return the statuses of `count` responses."""
         connection = self.connect()
         connection.sendall(data)
         with connection.makefile("rb") as stream:
             return [self.response(stream).status for _ in range(count)]
 
     def response(self, stream: BinaryIO) -> HttpResponse:
-        """The next response on a stream of them."""
+        """Read the next response from the stream."""
         status = int(stream.readline().split()[1])
         headers = dict(http.client.parse_headers(stream).items())
         return HttpResponse(status, stream.read(int(headers["Content-Length"])), headers)
--- a/tests/system/soak_child.py
+++ b/tests/system/soak_child.py
@@ -1,4 +1,4 @@
-"""A program for a test: says that it has begun, and waits for its end."""
+"""A child process for tests: reports on a pipe that it has started, and waits to be terminated."""
 
 import os
 import signal
--- a/tests/system/test_line_writer.py
+++ b/tests/system/test_line_writer.py
@@ -1,4 +1,4 @@
-"""The thread that writes log lines."""
+"""Tests of the thread that writes log lines."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from pipitledge.runtime.line_writer import LineWriter
 
-WAIT_SECONDS = 20.0  # a bound for broken code, never waited for
+WAIT_SECONDS = 20.0  # a test fails after this time; passing tests never wait for it
 
 
 class Sink:
-    """Keeps what is written; may refuse, or hold the writer up."""
+    """Collects the written lines; can fail (`refusals`) or block the writer while `open` is cleared."""
 
     def __init__(self) -> None:
         self.written: list[str] = []
@@ -40,7 +40,7 @@
             self.assertTrue(self.writer.flush(WAIT_SECONDS))
         self.assertEqual(self.sink.written, ["first", "second", "third"])
 
-    def test_lines_that_find_no_room_are_counted(self) -> None:
+    def test_lines_dropped_because_the_queue_is_full_are_counted(self) -> None:
         self.sink.open.clear()
         self.writer.log(0, "held up")
         self.assertTrue(self.sink.reached.wait(WAIT_SECONDS))
@@ -50,7 +50,7 @@
         self.assertTrue(self.writer.flush(WAIT_SECONDS))
         self.assertEqual(self.sink.written, ["held up", "1", "2", "3", "lines_left_out=2"])
 
-    def test_lines_after_one_that_could_not_be_written_are(self) -> None:
+    def test_lines_after_a_failed_write_are_written(self) -> None:
         self.sink.refusals = 1
         self.writer.log(0, "refused")
         self.assertTrue(self.writer.flush(WAIT_SECONDS))
@@ -58,7 +58,7 @@
         self.assertTrue(self.writer.flush(WAIT_SECONDS))
         self.assertEqual(self.sink.written, ["lines_left_out=1", "next"])
 
-    def test_a_flush_does_not_wait_for_longer_than_it_may(self) -> None:
+    def test_a_flush_waits_no_longer_than_its_timeout(self) -> None:
         self.addCleanup(self.sink.open.set)
         self.sink.open.clear()
         self.writer.log(0, "held up")
--- a/tests/system/test_log_lines.py
+++ b/tests/system/test_log_lines.py
@@ -1,10 +1,10 @@
-"""Writing log lines from many threads.
+"""Writing log lines from many threads, and to a reader that does not read.
 
-What users saw: a node answered nothing any more, on open connections as on new ones, and was killed when its time to
-end was over; every call that it had taken was lost. What happened: two threads wrote a line at the same moment. The
-first held the log library's lock and let the interpreter go on while the line left; the second waited for that lock
-without letting the interpreter go on, so that the first could never return. Evidence: stacks of stuck nodes of soak
-runs: all threads stand still, one of them in the library's call that writes a line.
+Guards against a deadlock: a node stopped answering on all connections, was killed at the end of its termination grace
+period, and lost every call it had accepted. Two threads had written a log line at the same time. The first held the
+lock of the log library and released the GIL during the write; the second waited for that lock while it held the GIL, so
+the first could never continue. The stacks of stuck nodes in soak runs showed it: all threads were blocked, one of them
+in the library's call that writes a line.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[2]
-WAIT_SECONDS = 20.0  # a bound for broken code, never waited for
+WAIT_SECONDS = 20.0  # a test fails after this time; passing tests never wait for it
 THREADS, LINES = 4, 2_000
 
-WRITE_FROM_THREADS = f"""
+LOG_FROM_THREADS = f"""
 import threading
 from pipitledge.runtime import logs
 
@@ -34,7 +34,7 @@
 """
 
 
-WRITE_WITHOUT_A_READER = """
+LOG_TO_UNREAD_PIPE = """
 import os, sys
 from pipitledge.runtime import logs
 
@@ -46,11 +46,11 @@
 """
 
 
-class NobodyReadsTest(unittest.TestCase):
-    """A log that goes into a pipe whose reader is there and does not read, as when a log collector hangs."""
+class BlockedReaderTest(unittest.TestCase):
+    """The log goes to a pipe whose reader is open but does not read, like a hanging log collector."""
 
-    def test_a_log_that_nobody_reads_does_not_stop_the_process(self) -> None:
-        command = [sys.executable, "-c", WRITE_WITHOUT_A_READER]
+    def test_an_unread_log_does_not_block_the_process(self) -> None:
+        command = [sys.executable, "-c", LOG_TO_UNREAD_PIPE]
         with subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, cwd=ROOT) as process:
             self.addCleanup(process.kill)
             try:
@@ -62,12 +62,12 @@
 
 
 class ManyThreadsTest(unittest.TestCase):
-    def test_threads_that_write_at_once_do_not_stop_the_process(self) -> None:
-        command = [sys.executable, "-c", WRITE_FROM_THREADS]
+    def test_threads_that_log_concurrently_do_not_deadlock(self) -> None:
+        command = [sys.executable, "-c", LOG_FROM_THREADS]
         try:
             done = subprocess.run(command, stdout=subprocess.PIPE, cwd=ROOT, timeout=WAIT_SECONDS, check=True)
         except subprocess.TimeoutExpired:
-            self.fail("the process stands still")
+            self.fail("the process is deadlocked")
         self.assertEqual(len(done.stdout.splitlines()), THREADS * LINES)
 
 
--- a/tests/system/test_signals.py
+++ b/tests/system/test_signals.py
@@ -1,9 +1,9 @@
-"""Signals: orders to a process are heard at once, whichever thread the kernel hands them to.
+"""Signals are handled at once, whichever thread the kernel delivers them to.
 
-What users saw: a node that was told to end took calls on for up to two seconds more, and then had too little time left
-for those under way. What happened: the main thread waited for its next look at the settings file; the signal was
-handed to another thread, or came just before the wait began, and neither ends that wait. Evidence: this test, where
-another thread gets the signal.
+Guards against a delayed shutdown: after SIGTERM a node accepted calls for up to two more seconds, and then had too
+little time left for the calls in progress. The main thread was waiting for its next poll of the settings file, and that
+wait is not interrupted by a signal that is delivered to another thread or just before the wait begins. The test
+delivers the signal to another thread.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             self.addCleanup(signal.signal, number, signal.getsignal(number))
         self.addCleanup(signal.set_wakeup_fd, -1)
-        self.looks: list[str] = []
+        self.polls: list[str] = []
 
-    def test_a_signal_that_another_thread_gets_is_heard_at_once(self) -> None:
-        loop = SignalLoop(lambda: None, lambda: self.looks.append("settings"))
+    def test_a_signal_delivered_to_another_thread_is_handled_at_once(self) -> None:
+        loop = SignalLoop(lambda: None, lambda: self.polls.append("settings"))
         loop.install()
         ready = threading.Event()
 
@@ -39,7 +39,7 @@
             ready.set()
             loop.run_until_terminated()
         other.join()
-        self.assertEqual(self.looks, [], "the order waited for the next look at the settings file")
+        self.assertEqual(self.polls, [], "the signal was handled only after the next poll of the settings file")
 
 
 if __name__ == "__main__":
--- a/tests/system/test_thread_starter.py
+++ b/tests/system/test_thread_starter.py
@@ -1,4 +1,4 @@
-"""Threads that are started on a thread of their own."""
+"""Tests of starting threads from a dedicated thread."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from pipitledge.runtime.thread_starter import ThreadStarter
 
-WAIT_SECONDS = 20.0  # a bound for broken code, never waited for
+WAIT_SECONDS = 20.0  # a test fails after this time; passing tests never wait for it
 
 
 class FailsOnce(threading.Thread):
-    """A thread that the system has no room for at first."""
+    """A thread whose first start fails, as at the system's limit of threads."""
 
     failures = 1
 
@@ -23,8 +23,8 @@
 
 
 class ThreadStarterTest(unittest.TestCase):
-    def test_a_thread_that_can_not_be_started_is_started_later_and_holds_up_no_other(self) -> None:
-        """Read again: the starter ended with the first failure, and no thread was started any more."""
+    def test_a_failed_thread_start_is_retried_and_does_not_block_others(self) -> None:
+        """Guards against the starter ending at the first failure, so that no further thread is started."""
         starter = ThreadStarter()
         ran = [threading.Event(), threading.Event()]
         starter.start(FailsOnce(target=ran[0].set, daemon=True))
