--- a/pipitledge/runtime/settings_watcher.py
+++ b/pipitledge/runtime/settings_watcher.py
@@ -26,7 +26,7 @@
     """Holds the settings in force (`current`) and reloads them from the file."""
 
     def __init__(self, path: str, current: Settings, log: EventLog, load: Load = settings_file.load) -> None:
-        """Start with `current`, which was read from `path`; the first `poll` reads the file again, in case it changed."""
+        """Start with `current`, which was read from `path`; the first `poll` always reads the file again."""
         self._path = path
         self._log = log
         self._load = load
@@ -35,7 +35,7 @@
         self.current = current
 
     def poll(self) -> Settings | None:
-        """Reload the file if it changed since the last poll; return the settings if they differ from the current ones."""
+        """Reload the file if it changed since the last poll; return the settings if they differ from `current`."""
         stamp = self._file_stamp()
         if stamp == self._stamp:
             return None
@@ -45,7 +45,7 @@
         return loaded
 
     def reload(self) -> Settings | None:
-        """Read the file; return the settings if they are valid and differ from the current ones."""
+        """Read the file; return the settings if they are valid and differ from `current`."""
         loaded = self._load(self._path)
         if isinstance(loaded, SettingsProblem):
             self._log.error("settings_broken", step="reload", path=loaded.path, reason=loaded.reason)
--- a/pipitledge/runtime/storage.py
+++ b/pipitledge/runtime/storage.py
@@ -196,7 +196,7 @@
         return None if slot is None or record is None else (slot, record)
 
     def _find_log(self, slot: int, snapshot: SlotRecord) -> log_file.LogContent | DiskDamage:
-        """Return the log that follows the newest valid snapshot, or the damage if entries or a newer snapshot are lost."""
+        """Return the log after the newest valid snapshot, or the damage if entries or a newer snapshot are lost."""
         log = log_file.decode(self._log_files[slot].read_all())
         if log is None or log.generation != snapshot.counter:
             return DiskDamage(f"{LOG_NAMES[slot]}: no valid header")
--- a/tests/system/disk_model.py
+++ b/tests/system/disk_model.py
@@ -24,7 +24,7 @@
     offset: int
     data: bytes | None
     synced: bool = False
-    refused: bool = False  # its sync failed, so a later successful sync may not cover it
+    sync_failed: bool = False  # its sync failed, so a later successful sync may not cover it
 
 
 class PowerLossOutcome:
@@ -105,13 +105,13 @@
 
     def sync(self) -> None:
         for change in self.changes:
-            change.synced = change.synced or not change.refused
+            change.synced = change.synced or not change.sync_failed
         while self.changes and self.changes[0].synced:
             self.durable = apply(self.durable, [self.changes.pop(0)])
 
-    def refuse_sync(self) -> None:
+    def fail_sync(self) -> None:
         for change in self.changes:
-            change.refused = not change.synced
+            change.sync_failed = not change.synced
 
     def after_power_loss(self, power_loss: PowerLossOutcome) -> bytes:
         rest: list[FileChange] = []
@@ -142,7 +142,7 @@
         self.operations = 0  # number of operations that change or sync data
         self.syncs = 0
         self.kill_at = -1  # index of the operation at which the process is killed; -1: never
-        self.refusals = 0  # number of operations that fail from now on
+        self.failing_operations = 0  # number of operations that fail from now on
 
     def lose_power(self, power_loss: PowerLossOutcome) -> None:
         """Keep only what survives a power loss with this outcome."""
@@ -186,7 +186,7 @@
         try:
             self._count_or_fail()
         except OSError:
-            inode.refuse_sync()
+            inode.fail_sync()
             raise
         self._kill_if_due()
         self.syncs += 1
@@ -194,8 +194,8 @@
 
     def _count_or_fail(self) -> None:
         self.operations += 1
-        if self.refusals > 0:
-            self.refusals -= 1
+        if self.failing_operations > 0:
+            self.failing_operations -= 1
             raise OSError(5, "Input/output error")
 
     def _kill_if_due(self) -> None:
--- a/tests/system/test_http_end.py
+++ b/tests/system/test_http_end.py
@@ -1,4 +1,4 @@
-"""How a server ends: calls that it has taken are answered, new ones are refused, and nothing holds it up."""
+"""Graceful shutdown of an HTTP server: accepted requests are answered, new connections are refused."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ShutdownCase(HttpServerCase):
-    """Calls to /held are answered when the test says so."""
+    """Requests to /held stay unanswered until the test responds to them."""
 
     def setUp(self) -> None:
         self.held: list[Respond] = []
@@ -32,8 +32,8 @@
         else:
             respond(HttpResponse(200))
 
-    def prepared(self) -> HttpServer:
-        """A server that listens and does not serve yet."""
+    def listening(self) -> HttpServer:
+        """Return a server that listens but does not accept connections yet."""
         options = ServerOptions("test", threads=1, max_threads=4)
         server = HttpServer(
             LOOPBACK, 0, HandlerExchange(self.executor, self.answer, WAIT_SECONDS, "test"), options, LOG
@@ -48,12 +48,14 @@
 
 
 class RetiredServerTest(ShutdownCase):
-    def test_a_call_under_way_is_answered_before_the_server_finishes(self) -> None:
+    def test_a_request_in_progress_is_answered_before_the_server_finishes(self) -> None:
         connection = self.connect()
         connection.sendall(CALL.replace(b"/call", b"/held"))
         eventually(lambda: len(self.held) == 1)
         self.server.retire()
-        with self.assertRaises((ConnectionRefusedError, ConnectionResetError)):  # the latter amid the close itself
+        with self.assertRaises(
+            (ConnectionRefusedError, ConnectionResetError)
+        ):  # reset if the listening socket is closed meanwhile
             while True:
                 self.connect()
         with self.assertRaises(ConnectionRefusedError):
@@ -63,7 +65,7 @@
         self.assertTrue(self.read_to_the_end(connection).startswith(ANSWERED))
         eventually(self.server.finished)
 
-    def test_a_call_on_an_open_connection_is_answered_and_ends_it(self) -> None:
+    def test_a_request_on_an_open_connection_is_answered_and_the_connection_closed(self) -> None:
         self.server = self.started(ServerOptions("test", threads=2, max_threads=2))
         held, other = self.connect(), self.connect()
         held.sendall(CALL.replace(b"/call", b"/held"))
@@ -75,8 +77,8 @@
         self.assertIn(b"Connection: close", answer)
         self.held[0](HttpResponse(200))
 
-    def test_calls_on_connections_that_wait_to_be_accepted_are_answered(self) -> None:
-        self.server = self.prepared()
+    def test_requests_on_connections_not_accepted_yet_are_answered(self) -> None:
+        self.server = self.listening()
         waiting = [self.connect() for _ in range(5)]
         for connection in waiting:
             connection.sendall(CALL)
@@ -86,16 +88,16 @@
             self.assertTrue(self.read_to_the_end(connection).startswith(ANSWERED))
         eventually(self.server.finished)
 
-    def test_clients_that_go_on_connecting_do_not_keep_it(self) -> None:
-        """As many are accepted as may wait at one moment, however many come meanwhile."""
-        self.server = self.prepared()
+    def test_clients_that_keep_connecting_do_not_delay_the_shutdown(self) -> None:
+        """The server accepts at most one backlog of connections, however many clients connect meanwhile."""
+        self.server = self.listening()
         with mock.patch.object(IdleConnectionManager, "_accept", return_value=True) as accept:
             self.server.retire()
             self.server.start()
             eventually(self.server.finished)
         self.assertEqual(accept.call_count, self.server._server.request_queue_size)
 
-    def test_idle_connections_are_closed_and_one_that_can_not_be_holds_up_no_other(self) -> None:
+    def test_idle_connections_are_closed_even_if_closing_one_of_them_fails(self) -> None:
         idle = [self.connect() for _ in range(3)]
         eventually(lambda: self.server._server._connections._num_connections == len(idle))
         failures = [OSError("cannot be closed")]
@@ -112,7 +114,7 @@
         closed = idle[1:]
         self.assertEqual([self.read_to_the_end(connection) for connection in closed], [b""] * len(closed))
 
-    def test_a_call_that_comes_too_late_is_answered_at_once(self) -> None:
+    def test_a_refusing_server_answers_503_at_once(self) -> None:
         self.server.refuse()
         connection = self.connect()
         connection.sendall(CALL.replace(b"/call", b"/held"))
@@ -123,8 +125,8 @@
 
 
 class InFlightCallsTest(ShutdownCase):
-    def test_a_call_counts_before_its_connection_is_off_the_watch(self) -> None:
-        """Else there is a moment at which the server seems to have no call and nothing to read."""
+    def test_a_request_is_counted_before_its_connection_leaves_the_selector(self) -> None:
+        """Otherwise the server would briefly appear to have no request in progress and nothing to read."""
         selector = self.server._server._connections._selector
         counted: list[int] = []
         unregister = selector.unregister
@@ -137,7 +139,7 @@
             self.assertEqual(self.statuses(CALL), [200])
         self.assertEqual(counted, [1])
 
-    def test_none_is_left_however_connections_end(self) -> None:
+    def test_the_count_returns_to_zero_however_connections_end(self) -> None:
         self.assertEqual(self.statuses(2 * CALL, 2), [200, 200])
         self.assertEqual(self.statuses(CALL.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")), [200])
         self.assertEqual(self.statuses(b"nonsense\r\n\r\n"), [400])
@@ -147,7 +149,7 @@
         eventually(lambda: self.server.busy() == 0)
         self.assertEqual(self.statuses(CALL), [200])
 
-    def test_a_call_counts_until_its_connection_is_closed(self) -> None:
+    def test_a_request_is_counted_until_its_connection_is_closed(self) -> None:
         counted: list[int] = []
         close = HTTPConnection.close
 
@@ -162,19 +164,21 @@
 
 
 class SlowThreadStartTest(ShutdownCase):
-    """On a machine with too much to do a thread's start takes seconds. Calls were read by nobody meanwhile."""
+    """Starting a thread takes seconds on an overloaded machine; requests must still be read meanwhile."""
 
-    def test_the_thread_that_watches_connections_does_not_wait_for_a_start(self) -> None:
+    def test_the_event_thread_does_not_wait_for_a_thread_start(self) -> None:
         self.server = self.started(ServerOptions("test", threads=1, max_threads=4))
-        self.assertEqual(self.statuses(CALL), [200])  # its first thread is there; else that one's start would be slow
+        self.assertEqual(
+            self.statuses(CALL), [200]
+        )  # the first thread has started; otherwise the patch would slow its start
         starting, go_on = threading.Event(), threading.Event()
         self.addCleanup(go_on.set)
         start = WorkerThread.start
-        over: list[bool] = []
+        start_finished: list[bool] = []
 
         def start_slowly(worker: WorkerThread) -> None:
             starting.set()
-            over.append(go_on.wait(WAIT_SECONDS))
+            start_finished.append(go_on.wait(WAIT_SECONDS))
             start(worker)
 
         with mock.patch.object(WorkerThread, "start", start_slowly):
@@ -186,5 +190,5 @@
             eventually(lambda: len(self.held) == 2)
             self.held[1](HttpResponse(200))
             self.assertEqual(self.statuses(CALL), [200])
-            self.assertEqual(over, [], "the start is still going on")
+            self.assertEqual(start_finished, [], "the slow start must still be in progress")
             go_on.set()
--- a/tests/system/test_http_server.py
+++ b/tests/system/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server on loopback sockets: requests, limits, growth."""
+"""Tests of the HTTP server on loopback sockets: requests, limits, and growth of the thread pool."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from pipitledge.runtime.http_types import HttpRequest, HttpResponse, Respond
 from tests.system.runtime_case import WAIT_SECONDS, HttpServerCase
 
-GROWTH_SECONDS = 10.0  # a bound for broken code, never waited for
+GROWTH_SECONDS = 10.0  # a test fails after this time; passing tests never wait for it
 
 
 class HttpServerTest(HttpServerCase):
-    def test_a_request_reaches_the_handler_whole(self) -> None:
+    def test_a_request_reaches_the_handler_completely(self) -> None:
         data = b"POST /a%20b?c=d HTTP/1.1\r\nHost: h.example\r\nX-Deadline-Ms: 900\r\nContent-Length: 3\r\n\r\nxyz"
         self.assertEqual(self.statuses(data), [200])
         request = self.requests[0]
@@ -21,14 +21,14 @@
         self.assertEqual((request.headers["host"], request.headers["x-deadline-ms"]), ("h.example", "900"))
         self.assertEqual(request.body, b"xyz")
 
-    def test_chunks_are_put_together_and_the_connection_is_kept(self) -> None:
+    def test_chunks_are_joined_and_the_connection_stays_open(self) -> None:
         head = b"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
         body = b"3\r\nabc\r\n2;extension=1\r\nde\r\n0\r\nTrailer: t\r\n\r\n"
         self.assertEqual(self.statuses(head + body + head + body, 2), [200, 200])
         self.assertEqual([request.body for request in self.requests], [b"abcde", b"abcde"])
 
-    def test_a_body_over_the_limit_gets_413_though_the_caller_has_sent_all_of_it(self) -> None:
-        body = b"x" * 6_000_000  # more than the buffers between hold
+    def test_a_body_over_the_limit_gets_413_even_if_it_was_sent_completely(self) -> None:
+        body = b"x" * 6_000_000  # more than the socket buffers hold
         data = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 6000000\r\n\r\n" + body
         self.assertEqual(self.statuses(data), [413])
         self.assertEqual(self.requests, [])
@@ -50,17 +50,17 @@
                 self.assertEqual(self.statuses(head + rest), [400])
         self.assertEqual(self.requests, [])
 
-    def test_requests_sent_ahead_on_one_connection_are_all_answered(self) -> None:
+    def test_pipelined_requests_are_all_answered(self) -> None:
         data = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
         self.assertEqual(self.statuses(data * 3, 3), [200, 200, 200])
 
-    def test_a_caller_that_leaves_in_the_midst_of_a_body_is_not_served(self) -> None:
+    def test_a_request_is_dropped_if_the_caller_disconnects_during_the_body(self) -> None:
         with self.connect() as leaving:
             leaving.sendall(b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc")
         self.assertEqual(self.statuses(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"), [200])
         self.assertEqual([request.method for request in self.requests], ["GET"])
 
-    def test_a_silent_connection_takes_no_thread(self) -> None:
+    def test_an_idle_connection_occupies_no_thread(self) -> None:
         self.connect()
         self.assertEqual(self.statuses(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"), [200])
 
@@ -84,13 +84,13 @@
 
 class GrowthTest(HttpServerCase):
     def answer(self, request: HttpRequest, respond: Respond) -> None:
-        """Answer the calls that came before only at the last one."""
+        """Hold all responses back until the request for /last arrives."""
         self.waiting = [*getattr(self, "waiting", []), respond]
         if request.path == "/last":
             for waiting in self.waiting:
                 waiting(HttpResponse(200))
 
-    def test_threads_are_added_while_answers_are_waited_for(self) -> None:
+    def test_threads_are_added_while_requests_wait_for_answers(self) -> None:
         self.server = self.started(ServerOptions("test", threads=1, max_threads=4))
         earlier = [self.connect() for _ in range(3)]
         for connection in earlier:
@@ -98,7 +98,7 @@
         self.assertEqual(self.statuses(b"GET /last HTTP/1.1\r\nHost: h\r\n\r\n"), [200])
 
     def test_a_thread_that_has_just_taken_a_request_does_not_count_as_idle(self) -> None:
-        """Seen once: a call waited for the whole time of the call before it, as no thread was added."""
+        """Guards against a request that waits until the previous one is finished because no thread is added."""
         self.server = self.started(ServerOptions("test", threads=1, max_threads=2))
         requests = self.server._server.requests
         taken, go_on = threading.Event(), threading.Event()
@@ -113,7 +113,9 @@
             return request
 
         requests.get = take_and_wait
-        self.statuses(b"GET /last HTTP/1.1\r\nHost: h\r\n\r\n")  # the thread now takes its next request by the new way
+        self.statuses(
+            b"GET /last HTTP/1.1\r\nHost: h\r\n\r\n"
+        )  # the thread takes its next request by the patched method
         first = self.connect()
         first.sendall(b"GET /last HTTP/1.1\r\nHost: h\r\n\r\n")
         self.assertTrue(taken.wait(WAIT_SECONDS))
@@ -122,7 +124,7 @@
         second.sendall(b"GET /last HTTP/1.1\r\nHost: h\r\n\r\n")
         self.assertTrue(second.recv(100).startswith(b"HTTP/1.1 200 OK"))
 
-    def test_the_last_connections_over_the_limit_are_closed(self) -> None:
+    def test_new_connections_over_the_limit_are_closed(self) -> None:
         self.server = self.started(ServerOptions("test", connections=1))
         kept = self.connect()
         refused = self.connect()
--- a/tests/system/test_message_body.py
+++ b/tests/system/test_message_body.py
@@ -1,4 +1,4 @@
-"""Long messages are deflated on their way between processes; whoever can't take that is not sent it."""
+"""Long messages between processes are deflated, but only for receivers that accept it."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 from tests.system.runtime_case import LOG, LOOPBACK, WAIT_SECONDS, ResultBox
 
 LONG = whole(7, *[route(number) for number in range(500)])
-LARGEST = 1 << 20
+MAX_BYTES = 1 << 20
 
 
 class PackTest(unittest.TestCase):
-    def test_long_bodies_get_shorter_and_come_back(self) -> None:
+    def test_long_bodies_are_compressed_and_restored(self) -> None:
         compressed = message_body.compress(LONG)
         self.assertLess(len(compressed.data), len(LONG) // 5)
         encoding = compressed.headers[message_body.CONTENT_ENCODING]
-        self.assertEqual(message_body.decompress(compressed.data, encoding, LARGEST), LONG)
+        self.assertEqual(message_body.decompress(compressed.data, encoding, MAX_BYTES), LONG)
 
-    def test_short_ones_and_noise_stay_as_they_are(self) -> None:
+    def test_short_and_incompressible_bodies_are_not_compressed(self) -> None:
         for body in (b"", b"x" * (message_body.MIN_COMPRESS_BYTES - 1), random.Random(1).randbytes(10_000)):
             compressed = message_body.compress(body)
             self.assertEqual((compressed.data, compressed.headers), (body, {}))
-            self.assertEqual(message_body.decompress(compressed.data, "", LARGEST), body)
+            self.assertEqual(message_body.decompress(compressed.data, "", MAX_BYTES), body)
 
-    def test_what_is_broken_or_too_large_is_refused(self) -> None:
+    def test_invalid_and_too_large_bodies_are_rejected(self) -> None:
         data = message_body.compress(LONG).data
         for broken, encoding, max_bytes in (
-            (data[:-1], "deflate", LARGEST),
-            (b"no such format", "deflate", LARGEST),
-            (data, "br", LARGEST),
+            (data[:-1], "deflate", MAX_BYTES),
+            (b"no such format", "deflate", MAX_BYTES),
+            (data, "br", MAX_BYTES),
             (data, "deflate", len(LONG) - 1),
         ):
             with self.assertRaises(message_body.EncodingError):
@@ -59,7 +59,7 @@
     def ask(self, body: bytes, **headers: str) -> HttpResponse:
         return self.exchange(HttpRequest("POST", INTERNAL_PATH, headers=headers, body=body))
 
-    def test_only_who_asks_for_it_gets_a_packed_answer(self) -> None:
+    def test_an_answer_is_compressed_only_if_the_caller_accepts_it(self) -> None:
         call = codec.encode(OperatorCall("PUT", "", LONG))
         plain = self.ask(call)
         self.assertEqual(codec.decode(plain.body), OperatorReply(200, LONG))
@@ -67,13 +67,13 @@
         self.assertEqual(compressed.headers["Content-Encoding"], "deflate")
         self.assertEqual(codec.decode(zlib.decompress(compressed.body)), OperatorReply(200, LONG))
 
-    def test_a_body_that_can_not_be_unpacked_is_malformed(self) -> None:
+    def test_a_body_that_can_not_be_decompressed_is_malformed(self) -> None:
         call = codec.encode(OperatorCall("PUT", "", LONG))
         self.assertEqual(self.ask(call, **{"content-encoding": "deflate"}).status, 400)
 
 
 class SocketTest(unittest.TestCase):
-    """Two processes' transports on loopback."""
+    """Transports of two processes, connected over loopback."""
 
     def setUp(self) -> None:
         self.executor = SerialExecutor(LOG)
@@ -89,7 +89,7 @@
         self.addCleanup(transport.stop)
         return transport
 
-    def test_a_long_call_and_its_answer_come_whole_and_packed(self) -> None:
+    def test_a_long_call_and_its_answer_arrive_compressed_and_complete(self) -> None:
         server, client = self.transport(), self.transport()
         lengths: list[int] = []
         exchange = InternalExchange.__call__
@@ -103,7 +103,7 @@
             for _ in range(2):
                 self.assertEqual(self.ask(client, server), OperatorReply(200, LONG))
         first_request, first_answer, second_request, second_answer = lengths
-        self.assertGreater(first_request, len(LONG))  # nobody has said yet that it understands anything else
+        self.assertGreater(first_request, len(LONG))  # the client does not know yet that the server accepts deflate
         self.assertLess(max(first_answer, second_request, second_answer), len(LONG) // 5)
 
     def ask(self, client: Transport, server: Transport) -> Struct | None:
@@ -111,8 +111,8 @@
         client.call(server.address, OperatorCall("PATCH", "7", LONG), WAIT_SECONDS, reply.put)
         return reply.take()
 
-    def test_a_process_of_an_earlier_version_gets_nothing_deflated(self) -> None:
-        """One that takes the place of a newer one at its address included."""
+    def test_a_process_of_an_earlier_version_receives_nothing_deflated(self) -> None:
+        """This includes a process that replaces one of a newer version at the same address."""
         server, client = self.transport(), self.transport()
         self.assertEqual(self.ask(client, server), OperatorReply(200, LONG))
         exchange = InternalExchange.__call__
--- a/tests/system/test_runtime.py
+++ b/tests/system/test_runtime.py
@@ -1,4 +1,4 @@
-"""The runtime on loopback sockets: what is waited for are events, never time."""
+"""Tests of the runtime on loopback sockets; they wait for events and never for fixed times."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
     def at(self, when: float, name: str) -> Callable[[], None]:
         return self.executor.at(when, lambda: self.ran.append(name)).cancel
 
-    def test_timers_run_in_the_order_of_their_times_once_due(self) -> None:
+    def test_due_timers_run_in_order_of_their_due_times(self) -> None:
         self.at(103.0, "third")
         self.at(101.0, "first")
         self.at(101.0, "second")
@@ -79,14 +79,14 @@
         self.executor.run_due()
         self.assertEqual(self.ran, ["kept"])
 
-    def test_a_timer_cancelled_by_one_due_at_the_same_time_does_not_run(self) -> None:
+    def test_a_timer_cancelled_by_another_due_at_the_same_time_does_not_run(self) -> None:
         self.executor.at(101.0, lambda: later.cancel())
         later = self.executor.at(101.0, lambda: self.ran.append("later"))
         self.time.seconds = 101.0
         self.executor.run_due()
         self.assertEqual(self.ran, [])
 
-    def test_cancelled_timers_do_not_fill_the_heap(self) -> None:
+    def test_cancelled_timers_are_removed_from_the_heap(self) -> None:
         queue = TimerQueue(self.time)
         kept = queue.add(500.0, lambda: None)
         for _ in range(10 * MAX_CANCELLED):
@@ -94,7 +94,7 @@
         self.assertLessEqual(len(queue), MAX_CANCELLED + 2)
         self.assertTrue(kept.pending)
 
-    def test_the_thread_takes_up_a_timer_that_comes_before_the_one_it_waits_for(self) -> None:
+    def test_the_timer_thread_notices_a_timer_due_before_the_one_it_waits_for(self) -> None:
         executor = SerialExecutor(LOG)
         executor.start()
         self.addCleanup(executor.stop)
@@ -104,7 +104,7 @@
         self.assertEqual(done.take(), "early")
 
 
-class HostTest(unittest.TestCase):
+class SerialExecutorTest(unittest.TestCase):
     def test_an_exception_is_counted_and_the_next_callback_runs(self) -> None:
         executor = SerialExecutor(LOG)
         ran: list[str] = []
@@ -113,15 +113,15 @@
         self.assertEqual(executor.failures, 1)
         self.assertEqual(ran, ["next"])
 
-    def test_only_the_first_answer_counts(self) -> None:
-        answer = Future[str]()
-        answer.set_result("first")
-        answer.set_result("second")
-        self.assertEqual(answer.wait(WAIT_SECONDS), "first")
+    def test_a_future_keeps_only_the_first_result(self) -> None:
+        future = Future[str]()
+        future.set_result("first")
+        future.set_result("second")
+        self.assertEqual(future.wait(WAIT_SECONDS), "first")
 
 
 class TransportCase(unittest.TestCase):
-    """Two processes' transports on loopback."""
+    """Transports of two processes, connected over loopback."""
 
     def setUp(self) -> None:
         self.executor = SerialExecutor(LOG)
@@ -155,7 +155,7 @@
         self.handlers.on_call(EpochQuery, lambda query, reply: reply(EpochReply(query.name, promised=7)))
         self.assertEqual(self.call(self.server.address, EpochQuery("a")), EpochReply("a", promised=7))
 
-    def test_a_call_answered_later_is_answered(self) -> None:
+    def test_a_handler_may_reply_later(self) -> None:
         waiting = ResultBox[Reply]()
         self.handlers.on_call(EpochQuery, lambda query, reply: waiting.put(reply))
         box = ResultBox[object]()
@@ -165,27 +165,27 @@
         self.executor.run(lambda: reply(EpochReply("b")), "test")
         self.assertEqual(box.take(), EpochReply("b"))
 
-    def test_a_dead_port_gives_none(self) -> None:
+    def test_a_call_to_a_port_without_listener_returns_none(self) -> None:
         with socket.socket() as unused:
             unused.bind((LOOPBACK, 0))
             address = f"{LOOPBACK}:{unused.getsockname()[1]}"
         self.assertIsNone(self.call(address, EpochQuery("a")))
 
-    def test_a_type_that_nobody_answers_gives_none(self) -> None:
+    def test_a_call_of_a_type_without_handler_returns_none(self) -> None:
         self.assertIsNone(self.call(self.server.address, StatusRequest()))
 
-    def test_a_handler_that_raises_gives_none_at_once(self) -> None:
+    def test_a_call_whose_handler_raises_returns_none_at_once(self) -> None:
         self.handlers.on_call(EpochQuery, lambda query, reply: [][0])
         self.assertIsNone(self.call(self.server.address, EpochQuery("a")))
         self.assertEqual(self.executor.failures, 1)
 
-    def test_what_is_no_message_gets_a_clear_status(self) -> None:
+    def test_invalid_requests_get_specific_statuses(self) -> None:
         self.assertEqual(self.post(b"not a message"), 400)
         self.assertEqual(self.post(codec.encode(StatusRequest())), 404)
         self.assertEqual(self.post(b"", method="GET"), 405)
         self.assertEqual(self.post(b"", path="/elsewhere"), 404)
 
-    def test_a_long_message_arrives_whole(self) -> None:
+    def test_a_long_message_arrives_completely(self) -> None:
         body = bytes(range(256)) * 20_000
         self.handlers.on_call(StatusRequest, lambda request, reply: reply(StatusReply(body)))
         self.assertEqual(self.call(self.server.address, StatusRequest()), StatusReply(body))
@@ -210,7 +210,7 @@
         self.assertEqual(box.take(), EpochQuery("a"))
         self.assertEqual(self.server.datagrams.malformed, 2)
 
-    def test_a_datagram_to_a_bad_address_is_no_error_of_the_sender(self) -> None:
+    def test_a_datagram_to_an_invalid_address_is_counted_and_raises_nothing(self) -> None:
         self.client.datagram("255.255.255.255:9", EpochQuery("a"))
         self.client.datagram("", EpochQuery("a"))
         self.assertEqual(self.client.datagrams.unsent, 2)
@@ -241,32 +241,32 @@
 
         return perform
 
-    def test_a_peer_that_is_stuck_does_not_hold_up_calls_to_others(self) -> None:
+    def test_a_stuck_peer_does_not_block_calls_to_others(self) -> None:
         self.assertEqual([self.submit("stuck", self.stuck()) for _ in range(4)], [True, True, True, False])
         box = ResultBox[str]()
         self.assertTrue(self.submit("sound", self.marking(box)))
         self.assertEqual(box.take(), "made")
 
-    def test_whoever_has_a_call_made_does_not_wait_for_the_start_of_a_thread(self) -> None:
-        """Calls are handed over under the lock of all logic, and a start takes seconds on a machine in need."""
-        starting, over = threading.Event(), list[bool]()
+    def test_submit_does_not_wait_for_a_thread_start(self) -> None:
+        """Calls are submitted under the executor's lock, and a thread start takes seconds on an overloaded machine."""
+        starting, start_finished = threading.Event(), list[bool]()
         start = threading.Thread.start
 
         def start_slowly(thread: threading.Thread) -> None:
             if thread.name.startswith("test"):
                 starting.set()
-                over.append(self.release.wait(WAIT_SECONDS))
+                start_finished.append(self.release.wait(WAIT_SECONDS))
             start(thread)
 
         box = ResultBox[str]()
         with mock.patch.object(threading.Thread, "start", start_slowly):
             self.submit("sound", self.marking(box))
             self.assertTrue(starting.wait(WAIT_SECONDS))
-            self.assertEqual(over, [], "the start is still going on")
+            self.assertEqual(start_finished, [], "the slow start must still be in progress")
             self.release.set()
             self.assertEqual(box.take(), "made")
 
-    def test_calls_kept_back_are_made_once_there_is_room(self) -> None:
+    def test_waiting_calls_run_once_others_have_finished(self) -> None:
         box = ResultBox[str]()
         for _ in range(2):
             self.submit("slow", self.stuck(CallOutcome.REACHED))
@@ -276,18 +276,18 @@
         self.assertEqual(box.take(), "made")
 
     def suspect(self, address: str) -> None:
-        """Have a call find `address` unreachable, and wait until that is noted."""
+        """Make a call that finds `address` unreachable, and wait until that is recorded."""
         self.submit(address, lambda: CallOutcome.UNREACHABLE)
         eventually(lambda: self.threads.is_suspect(address))
 
-    def test_an_unreachable_peer_gets_one_call_at_a_time_and_none_waits(self) -> None:
+    def test_an_unreachable_peer_gets_one_call_at_a_time_and_none_is_queued(self) -> None:
         self.suspect("silent")
         self.assertTrue(self.submit("silent", self.stuck()))
         self.assertFalse(self.submit("silent", self.stuck()))
-        self.suspect_elsewhere_is_refused()
+        self.call_to_another_suspect_is_rejected()
 
-    def suspect_elsewhere_is_refused(self) -> None:
-        """The share of the threads that suspects may hold is used up."""
+    def call_to_another_suspect_is_rejected(self) -> None:
+        """Check that a call to a second suspect is rejected while the limit for all suspects is reached."""
         self.release.set()
         eventually(lambda: not self.threads.busy())
         self.release.clear()
@@ -304,7 +304,7 @@
         self.assertTrue(self.submit("silent", self.stuck()))
         self.assertTrue(self.submit("silent", self.stuck()))
 
-    def test_a_call_that_nobody_waits_for_any_more_is_not_made(self) -> None:
+    def test_a_call_that_is_no_longer_awaited_is_skipped(self) -> None:
         box = ResultBox[str]()
         after = ResultBox[str]()
         self.submit("peer", self.marking(box), is_awaited=False)
@@ -332,7 +332,7 @@
         self.calls.post(OutgoingCall(self.address, "/", b"", timeout), box.put)
         return box
 
-    def test_a_peer_that_never_answers_is_given_up_in_time(self) -> None:
+    def test_a_call_to_a_peer_that_never_answers_times_out(self) -> None:
         box = self.post(timeout=5.0)
         connection, _ = self.listener.accept()
         self.time.seconds += 4.9
@@ -343,7 +343,7 @@
         self.assertEqual(box.take(), CallResult(reason="timeout"))
         connection.close()
 
-    def test_a_connection_that_breaks_off_is_told_and_not_tried_again(self) -> None:
+    def test_a_broken_connection_is_reported_and_the_call_not_retried(self) -> None:
         box = self.post(timeout=5.0)
         connection, _ = self.listener.accept()
         connection.recv(1)
@@ -354,44 +354,44 @@
             self.listener.accept()
 
 
-class NamedCallsTest(HttpClientCase):
-    """Calls that tell their name, which their answers have to carry."""
+class CallIdTest(HttpClientCase):
+    """Calls with a call id, which their answers must repeat."""
 
-    def named(self, call_id: str) -> ResultBox[CallResult]:
+    def post_with_id(self, call_id: str) -> ResultBox[CallResult]:
         box = ResultBox[CallResult]()
         self.calls.post(OutgoingCall(self.address, "/", b"", WAIT_SECONDS, call_id=call_id), box.put)
         return box
 
     def answer(self, connection: socket.socket, call_id: str) -> None:
-        """Read one request, and answer it in the name of a call."""
+        """Read one request, and answer it with the given call id (empty: without one)."""
         connection.recv(4096)
         name = f"X-Call-Id: {call_id}\r\n" if call_id else ""
         connection.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n{name}\r\nhi".encode())
 
-    def test_the_answer_to_a_call_is_taken_and_its_connection_used_again(self) -> None:
-        box = self.named("a-1")
+    def test_an_answer_with_the_right_call_id_is_accepted_and_its_connection_reused(self) -> None:
+        box = self.post_with_id("a-1")
         connection, _ = self.listener.accept()
         self.answer(connection, "a-1")
         self.assertEqual(CallResult(200, b"hi"), box.take())
-        box = self.named("a-2")
+        box = self.post_with_id("a-2")
         self.answer(connection, "a-2")
         self.assertEqual(CallResult(200, b"hi"), box.take())
 
-    def test_an_answer_that_came_late_is_not_taken_for_the_next_call(self) -> None:
-        box = self.named("a-1")
+    def test_a_late_answer_is_not_taken_for_the_answer_to_the_next_call(self) -> None:
+        box = self.post_with_id("a-1")
         connection, _ = self.listener.accept()
         self.answer(connection, "a-1")
         box.take()
-        box = self.named("a-2")
-        self.answer(connection, "a-1")  # once more
+        box = self.post_with_id("a-2")
+        self.answer(connection, "a-1")  # repeats the previous answer
         self.assertEqual(0, box.take().status)
-        box = self.named("a-3")
-        fresh, _ = self.listener.accept()  # the connection that mixed them up is not used again
+        box = self.post_with_id("a-3")
+        fresh, _ = self.listener.accept()  # the connection with the wrong answer is not reused
         self.answer(fresh, "a-3")
         self.assertEqual(CallResult(200, b"hi"), box.take())
 
-    def test_an_answer_that_names_no_call_is_none(self) -> None:
-        box = self.named("a-1")
+    def test_an_answer_without_a_call_id_is_rejected(self) -> None:
+        box = self.post_with_id("a-1")
         connection, _ = self.listener.accept()
         self.answer(connection, "")
         self.assertEqual(0, box.take().status)
@@ -405,17 +405,17 @@
         calls.post("/pipitledge/hold", b"{}", instance, WAIT_SECONDS, box.put)
         return box.take()
 
-    def test_the_intended_life_is_named_and_the_answer_passed_back(self) -> None:
+    def test_the_request_names_the_worker_instance_and_the_response_is_returned(self) -> None:
         answer = self.post(f"{LOOPBACK}:{self.server.port}", "i-1")
         self.assertEqual(answer, WorkerResponse(200, b"}{"))
         self.assertEqual(self.requests[0].headers["x-expect-instance"], "i-1")
         self.assertEqual(self.requests[0].headers["content-type"], "application/json")
 
-    def test_no_life_is_named_where_any_is_meant(self) -> None:
+    def test_an_empty_instance_sends_no_instance_header(self) -> None:
         self.post(f"{LOOPBACK}:{self.server.port}", "")
         self.assertNotIn("x-expect-instance", self.requests[0].headers)
 
-    def test_a_worker_that_does_not_listen_is_told_from_one_that_is_silent(self) -> None:
+    def test_a_refused_connection_to_the_worker_is_reported_as_refused(self) -> None:
         with socket.socket() as unused:
             unused.bind((LOOPBACK, 0))
             port = unused.getsockname()[1]
@@ -429,49 +429,49 @@
         self.path = Path(folder.name) / "local.toml"
         self.path.write_text(SETTINGS)
         self.good = self.settings(SETTINGS)
-        self.watch = SettingsWatcher(str(self.path), self.good, LOG)
+        self.watcher = SettingsWatcher(str(self.path), self.good, LOG)
 
     def settings(self, text: str) -> Settings:
         loaded = parse(text)
         assert not isinstance(loaded, SettingsProblem), loaded
         return loaded
 
-    def test_a_file_that_has_not_changed_gives_nothing(self) -> None:
-        self.assertIsNone(self.watch.poll())
+    def test_an_unchanged_file_returns_no_settings(self) -> None:
+        self.assertIsNone(self.watcher.poll())
 
-    def test_a_broken_file_keeps_the_last_good_settings(self) -> None:
+    def test_an_invalid_file_keeps_the_last_valid_settings(self) -> None:
         self.path.write_text("nodeName = [broken")
-        self.assertIsNone(self.watch.poll())
-        self.assertEqual(self.watch.current, self.good)
+        self.assertIsNone(self.watcher.poll())
+        self.assertEqual(self.watcher.current, self.good)
 
-    def test_a_file_that_is_gone_keeps_the_last_good_settings(self) -> None:
+    def test_a_missing_file_keeps_the_last_valid_settings(self) -> None:
         self.path.unlink()
-        self.assertIsNone(self.watch.poll())
-        self.assertEqual(self.watch.current, self.good)
+        self.assertIsNone(self.watcher.poll())
+        self.assertEqual(self.watcher.current, self.good)
 
-    def test_a_file_that_could_not_be_read_once_is_read_again_though_it_has_not_changed(self) -> None:
+    def test_a_file_that_could_not_be_read_is_read_again_although_it_is_unchanged(self) -> None:
         changed = self.settings(SETTINGS.replace("edge-1", "edge-2"))
         answers: list[Settings | SettingsProblem] = [SettingsProblem(str(self.path), "too many open files"), changed]
-        watch = SettingsWatcher(str(self.path), self.good, LOG, lambda path: answers.pop(0))
-        self.assertIsNone(watch.poll())
-        self.assertEqual(watch.poll(), changed)
-        self.assertIsNone(watch.poll())
+        watcher = SettingsWatcher(str(self.path), self.good, LOG, lambda path: answers.pop(0))
+        self.assertIsNone(watcher.poll())
+        self.assertEqual(watcher.poll(), changed)
+        self.assertIsNone(watcher.poll())
 
-    def test_a_file_mended_after_it_was_broken_is_taken(self) -> None:
+    def test_a_file_repaired_after_an_error_is_loaded(self) -> None:
         self.path.write_text("nodeName = [broken")
-        self.watch.poll()
+        self.watcher.poll()
         changed = SETTINGS + 'seeds = ["10.9.0.1:8146"]\n'
         self.path.write_text(changed)
-        self.assertEqual(self.watch.poll(), self.settings(changed))
-        self.assertEqual(self.watch.current.seeds, ("10.9.0.1:8146",))
+        self.assertEqual(self.watcher.poll(), self.settings(changed))
+        self.assertEqual(self.watcher.current.seeds, ("10.9.0.1:8146",))
 
-    def test_a_file_that_says_the_same_in_other_words_gives_nothing(self) -> None:
+    def test_a_change_that_leaves_the_settings_equal_returns_no_settings(self) -> None:
         self.path.write_text(SETTINGS + "# a remark\n")
-        self.assertIsNone(self.watch.poll())
+        self.assertIsNone(self.watcher.poll())
 
 
 class SignalLoopTest(unittest.TestCase):
-    def test_hangup_reloads_and_terminate_ends_the_loop(self) -> None:
+    def test_sighup_reloads_and_sigterm_ends_the_loop(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             self.addCleanup(signal.signal, number, signal.getsignal(number))
         self.addCleanup(signal.set_wakeup_fd, -1)
--- a/tests/system/test_settings.py
+++ b/tests/system/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file and the logs."""
+"""Tests of the settings file and of the event log."""
 
 from __future__ import annotations
 
@@ -97,7 +97,7 @@
 
 
 class SettingsReadTest(SettingsCase):
-    def test_a_whole_file(self) -> None:
+    def test_a_file_with_all_keys(self) -> None:
         expected = Settings(
             name="edge-north-2",
             role="node",
@@ -148,7 +148,7 @@
         )
         self.assertEqual(self.settings(FULL_SETTINGS), expected)
 
-    def test_the_least_there_must_be(self) -> None:
+    def test_a_file_with_only_the_required_keys(self) -> None:
         shortest = self.settings(MINIMAL_SETTINGS)
         self.assertEqual((shortest.name, shortest.data_dir, shortest.seeds), ("side-1", "", ()))
         self.assertEqual((shortest.bounds, shortest.bind.control_plane), (Bounds(), ""))
@@ -169,7 +169,7 @@
         )
         self.assertEqual(self.settings(MINIMAL_SETTINGS + empty), self.settings(MINIMAL_SETTINGS))
 
-    def test_numbers_of_either_kind(self) -> None:
+    def test_integers_and_floats_are_interchangeable(self) -> None:
         changed = FULL_SETTINGS.replace("memoryMb = 256", "memoryMb = 256.0").replace("cpuShare = 0.5", "cpuShare = 1")
         changed = changed.replace("stop_ms = 250", "stop_ms = 250.5").replace("machines = 2", "machines = 2.0")
         read = self.settings(changed)
@@ -177,12 +177,12 @@
         self.assertEqual((read.bounds.stop_ms, read.tolerance.machines), (250.5, 2))
         self.assertIsInstance(read.limits.memory_mb, int)
 
-    def test_a_bound_in_either_spelling(self) -> None:
+    def test_a_bound_in_snake_case_or_camel_case(self) -> None:
         changed = FULL_SETTINGS.replace("graceS = 7", "grace_s = 8").replace("stop_ms = 250", "stopMs = 260")
         read = self.settings(changed)
         self.assertEqual((read.bounds.grace_s, read.bounds.stop_ms), (8.0, 260.0))
 
-    def test_a_bound_that_is_no_figure_leaves_the_default(self) -> None:
+    def test_a_boolean_bound_leaves_the_default(self) -> None:
         read = self.settings(FULL_SETTINGS.replace("graceS = 7", "graceS = true"))
         self.assertEqual(read.bounds.grace_s, Bounds().grace_s)
 
@@ -195,7 +195,7 @@
 
 
 class SettingsProblemTest(SettingsCase):
-    def test_wrong_keys_are_named_with_their_place(self) -> None:
+    def test_invalid_keys_are_reported_with_their_path(self) -> None:
         wrong = {
             ("memoryMb = 256", 'memoryMb = "much"'): "limits.memoryMb: value is not int",
             ("cores = 2", "cores = 1.5"): "limits.cores: value is not int",
@@ -221,21 +221,21 @@
                 self.assertIn(right, FULL_SETTINGS)
                 self.assertEqual(self.problem(FULL_SETTINGS.replace(right, instead, 1)), reason)
 
-    def test_all_wrong_keys_are_named_at_once(self) -> None:
+    def test_all_invalid_keys_are_reported_together(self) -> None:
         reason = self.problem(FULL_SETTINGS.replace("cores = 2", "cores = 1.5").replace("graceS = 7", 'graceS = "x"'))
         self.assertEqual(reason, "limits.cores: value is not int; bounds.graceS: value is not a number")
 
-    def test_a_table_that_is_none(self) -> None:
+    def test_a_key_that_must_be_a_table_but_is_not(self) -> None:
         self.assertIn("limits: ", self.problem(MINIMAL_SETTINGS + "limits = 3\n"))
         self.assertIn("bounds: ", self.problem(MINIMAL_SETTINGS + "bounds = [1]\n"))
 
-    def test_any_beginning_of_a_file_raises_nothing(self) -> None:
+    def test_no_truncated_file_raises_an_exception(self) -> None:
         problems = 0
         for length in range(len(FULL_SETTINGS)):
             problems += isinstance(parse(FULL_SETTINGS[:length]), SettingsProblem)
         self.assertGreater(problems, 100)
 
-    def test_half_a_file_is_named(self) -> None:
+    def test_a_truncated_file_is_reported_as_invalid_toml(self) -> None:
         self.assertIn("is not TOML", self.problem(FULL_SETTINGS[: FULL_SETTINGS.index("8044") + 2]))
 
 
@@ -251,7 +251,7 @@
             path = str(Path(folder) / "local.toml")
             self.assertEqual(load(path), SettingsProblem(path, "cannot be read: No such file or directory"))
 
-    def test_a_file_that_is_no_text(self) -> None:
+    def test_a_file_that_is_not_utf_8(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "local.toml"
             path.write_bytes(b'nodeName = "\xff"')
@@ -260,13 +260,13 @@
             self.assertIn("is not UTF-8", str(problem))
             self.assertIn(str(path), str(problem))
 
-    def test_where_the_file_is(self) -> None:
+    def test_path_of_the_settings_file(self) -> None:
         self.assertEqual(config_path({"PIPITLEDGE_CONFIG": "/x/y.toml"}), "/x/y.toml")
         self.assertEqual(config_path({}), settings.DEFAULT_CONFIG_PATH)
 
 
 class CollectingHandler(picologging.Handler):
-    """Keeps the lines."""
+    """Collects the log lines."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -304,7 +304,7 @@
             ['1700000000250 INFO agent event a="two words" b="say \'x\'\\nnow" c="" e=100%s f="k=v"'],
         )
 
-    def test_repeats_are_held_back_and_counted(self) -> None:
+    def test_repeated_events_are_suppressed_and_counted(self) -> None:
         for _ in range(logs.EVENTS_PER_WINDOW + 7):
             self.log.info("often")
         self.log.info("seldom")
@@ -315,7 +315,7 @@
         self.assertTrue(self.collected.lines[-2].endswith("often suppressed=7"))
         self.assertTrue(self.collected.lines[-1].endswith("often"))
 
-    def test_one_log_for_a_name(self) -> None:
+    def test_callers_with_the_same_name_share_a_log(self) -> None:
         self.assertIs(logs.get("some part"), logs.get("some part"))
         self.assertIsNot(logs.get("some part"), logs.get("another part"))
 
--- a/tests/system/test_storage.py
+++ b/tests/system/test_storage.py
@@ -1,4 +1,4 @@
-"""Storage, on a model of a disk that is as bad as a real one may be."""
+"""Tests of the storage on a model disk that simulates crashes, power losses and I/O errors."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class StoreContent:
-    """What a store ought to hold."""
+    """The content a store is expected to have."""
 
     epochs: bytes | None = None
     snapshot: bytes | None = None
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class Operation:
-    """One call of the store."""
+    """One call of a `Store` method."""
 
     kind: str
     data: tuple[bytes, ...]
@@ -66,7 +66,7 @@
         return replace(kept, epochs=self.data[0])
 
     def possible_after(self, kept: StoreContent) -> set[StoreContent]:
-        """What may be found if the call was cut short."""
+        """Return all contents that may be found after the call was interrupted."""
         if self.kind != "append":
             return {kept, self.after(kept)}
         counts = range(len(self.data) + 1)
@@ -116,14 +116,14 @@
 
 @dataclass
 class ModelMachine:
-    """A disk, with what is known to be kept on it."""
+    """A disk with the content known to be durable (`kept`) and the contents possible after a crash."""
 
     disk: ModelDisk = field(default_factory=ModelDisk)
     kept: StoreContent = StoreContent()
     possible: set[StoreContent] = field(default_factory=lambda: {StoreContent()})
 
     def run(self, history: list[Operation]) -> bool:
-        """Open the store and carry the history out; False if the process ended before."""
+        """Open the store and run the history; return False if the process was killed before the end."""
         try:
             store = Store(FOLDER, self.disk)
             store.open()
@@ -149,7 +149,7 @@
 
 class CrashTest(unittest.TestCase):
     def check_recovery(self, machine: ModelMachine, where: str) -> Store:
-        """Recover, and narrow down what may be found from now on."""
+        """Open the store, check the recovered content, and expect exactly that content from now on."""
         store = Store(FOLDER, machine.disk)
         recovered = store.open()
         self.assertEqual(recovered.corrupt, "", where)
@@ -159,27 +159,27 @@
         machine.possible = {machine.kept}
         return store
 
-    def check_going_on(self, machine: ModelMachine, store: Store, where: str) -> None:
-        """What is written after a recovery must be kept by the next one."""
+    def check_later_writes(self, machine: ModelMachine, store: Store, where: str) -> None:
+        """Check that data written after a recovery survives the next power loss."""
         for operation in (append(b"later", b"x" * 600), epochs(b"later promise"), append(b"latest")):
             operation.run(store)
             machine.kept = operation.after(machine.kept)
         machine.possible = {machine.kept}
         machine.disk.lose_power(LoseAll())
-        self.check_recovery(machine, f"{where}, gone on")
+        self.check_recovery(machine, f"{where}, after later writes")
 
     def check_all_crashes(self, history: list[Operation], name: str) -> None:
         for kill_at in range(operations_of(history)):
             machine = ModelMachine()
             machine.disk.kill_at = kill_at
-            self.assertFalse(machine.run(history), "the process was to end")
+            self.assertFalse(machine.run(history), "the process was not killed")
             machine.disk.kill_at = -1
             for number, power_loss in enumerate(POWER_LOSS_OUTCOMES):
                 where = f"{name}: operation {kill_at}, fate {number}"
                 crashed = copy.deepcopy(machine)
                 crashed.disk.lose_power(power_loss())
                 store = self.check_recovery(crashed, where)
-                self.check_going_on(crashed, store, where)
+                self.check_later_writes(crashed, store, where)
 
     def test_every_crash_of_a_script(self) -> None:
         self.check_all_crashes(SCRIPT, "script")
@@ -189,7 +189,7 @@
             self.check_all_crashes(random_history(seed), f"history {seed}")
 
     def test_a_killed_process_and_a_later_loss_of_power(self) -> None:
-        """What a recovery returns lasts, although the killed process had not synced it."""
+        """Content returned by a recovery is durable, even if the killed process had not synced it."""
         for kill_at in range(operations_of(SCRIPT)):
             machine = ModelMachine()
             machine.disk.kill_at = kill_at
@@ -198,7 +198,7 @@
             self.check_recovery(machine, f"killed at {kill_at}")
             machine.disk.lose_power(LoseAll())
             store = self.check_recovery(machine, f"killed at {kill_at}, then without power")
-            self.check_going_on(machine, store, f"killed at {kill_at}")
+            self.check_later_writes(machine, store, f"killed at {kill_at}")
 
     def test_a_second_crash_during_recovery(self) -> None:
         second_crashes = 0
@@ -219,50 +219,52 @@
                     machine.disk.lose_power(RandomOutcome(seed + again_at))
                     where = f"operation {kill_at}, seed {seed}, again at {again_at}"
                     store = self.check_recovery(machine, where)
-                    self.check_going_on(machine, store, where)
+                    self.check_later_writes(machine, store, where)
                     again_at += 1
                     second_crashes += ended
         self.assertGreater(second_crashes, 100)
 
-    def test_refused_calls_are_made_again(self) -> None:
-        """A call that fails at any of its operations, and is made again, keeps what it says."""
-        for refused_at in range(1, 60):
-            for refusals in (1, 3):
+    def test_failed_calls_succeed_when_repeated(self) -> None:
+        """A call that fails at any of its operations and is repeated stores its data."""
+        for failing_at in range(1, 60):
+            for failing_operations in (1, 3):
                 machine = ModelMachine()
                 store = Store(FOLDER, machine.disk)
                 store.open()
                 start = machine.disk.operations
                 for operation in SCRIPT:
-                    self.run_refused(operation, store, machine.disk, start + refused_at, refusals)
+                    self.run_with_failures(operation, store, machine.disk, start + failing_at, failing_operations)
                     machine.kept = operation.after(machine.kept)
                 machine.possible = {machine.kept}
                 for power_loss in POWER_LOSS_OUTCOMES:
                     crashed = copy.deepcopy(machine)
                     crashed.disk.lose_power(power_loss())
-                    self.check_recovery(crashed, f"refused at {refused_at}")
+                    self.check_recovery(crashed, f"failing at {failing_at}")
 
-    def run_refused(self, operation: Operation, store: Store, disk: ModelDisk, refused_at: int, refusals: int) -> None:
+    def run_with_failures(
+        self, operation: Operation, store: Store, disk: ModelDisk, failing_at: int, failing_operations: int
+    ) -> None:
         original = disk._count_or_fail
 
         def step() -> None:
-            if disk.operations + 1 == refused_at:
-                disk.refusals = refusals
+            if disk.operations + 1 == failing_at:
+                disk.failing_operations = failing_operations
             original()
 
         disk._count_or_fail = step  # type: ignore[method-assign]
-        for _ in range(refusals + 1):
+        for _ in range(failing_operations + 1):
             try:
                 operation.run(store)
                 break
             except OSError:
                 continue
         else:
-            self.fail("refused more often than it was to be")
+            self.fail("the call failed more often than the disk was set to fail")
         disk._count_or_fail = original  # type: ignore[method-assign]
 
 
 class OpenTest(unittest.TestCase):
-    def test_a_new_folder_is_fresh_until_something_is_kept(self) -> None:
+    def test_a_new_folder_is_fresh_until_data_is_written(self) -> None:
         machine = ModelMachine()
         self.assertTrue(Store(FOLDER, machine.disk).open().fresh)
         store = Store(FOLDER, machine.disk)
@@ -278,7 +280,7 @@
         machine.disk.wipe()
         self.assertEqual(Store(FOLDER, machine.disk).open(), RecoveredData(fresh=True))
 
-    def test_an_empty_record_is_not_a_missing_one(self) -> None:
+    def test_an_empty_record_differs_from_a_missing_one(self) -> None:
         machine = ModelMachine()
         machine.run([epochs(b""), snapshot(b"")])
         recovered = Store(FOLDER, machine.disk).open()
@@ -295,8 +297,8 @@
         machine.disk.lose_power(LoseAll())
         self.assertEqual(Store(FOLDER, machine.disk).open().entries, [b"whole", b"next"])
 
-    def test_entries_behind_a_torn_one_stay_dead(self) -> None:
-        """The rest of a batch that was never acknowledged must not follow an entry written over its torn start."""
+    def test_entries_after_a_torn_one_are_never_read(self) -> None:
+        """The rest of an unacknowledged batch must not be read after an entry that overwrites its torn start."""
         machine = ModelMachine()
         machine.run([append(b"torn", b"rest")])
         log = machine.disk.inodes[LOG_NAMES[0]]
@@ -306,18 +308,18 @@
         store.append([b"next"])
         self.assertEqual(Store(FOLDER, machine.disk).open().entries, [b"next"])
 
-    def test_an_entry_out_of_turn_ends_the_log(self) -> None:
+    def test_an_entry_out_of_sequence_ends_the_log(self) -> None:
         entries = [log_file.encode_entry(7, number, 0, b"x") for number in (1, 3)]
         content = log_file.decode(log_file.encode_header(7) + b"".join(entries))
         self.assertEqual(content, log_file.LogContent(7, [b"x"], log_file.HEADER_BYTES + len(entries[0]), False))
 
-    def test_entries_of_an_older_log_in_the_same_file_stay_dead(self) -> None:
+    def test_entries_of_an_older_log_in_the_same_file_are_never_read(self) -> None:
         machine = ModelMachine()
         machine.run([append(b"old 1"), append(b"old 2")])
         old_tail = machine.disk.inodes[LOG_NAMES[0]].durable
         machine.run([snapshot(b"1"), snapshot(b"2")])
         log = machine.disk.inodes[LOG_NAMES[0]]
-        log.durable += old_tail[len(log.durable) :]  # as if cutting it off had been lost
+        log.durable += old_tail[len(log.durable) :]  # as if the truncation had been lost
         recovered = Store(FOLDER, machine.disk).open()
         self.assertEqual((recovered.snapshot, recovered.entries, recovered.corrupt), (b"2", [], ""))
 
@@ -339,8 +341,8 @@
             kept = operation.after(kept)
         return states
 
-    def test_no_damaged_byte_is_ever_handed_out(self) -> None:
-        """Any one damaged byte leads to a refusal, or to a state that was kept at some time, never to another."""
+    def test_a_damaged_byte_is_never_returned(self) -> None:
+        """After damage to any one byte the store reports corruption or returns content that existed at some time."""
         machine = ModelMachine()
         machine.run(SCRIPT)
         parts = {(state.snapshot, state.entries) for state in self.history_states()}
@@ -360,34 +362,34 @@
                     self.assertIn(recovered.epochs, promises, f"{name} {offset}")
         self.assertGreater(refused, 0)
 
-    def damage(self, history: list[Operation], *places: tuple[str, int]) -> RecoveredData:
+    def damage(self, history: list[Operation], *locations: tuple[str, int]) -> RecoveredData:
         machine = ModelMachine()
         machine.run(history)
-        for name, offset in places:
+        for name, offset in locations:
             inode = machine.disk.inodes[name]
             content = bytearray(inode.durable)
             content[offset] ^= 0xFF
             inode.durable = bytes(content)
         return Store(FOLDER, machine.disk).open()
 
-    def test_an_entry_that_later_ones_rest_on(self) -> None:
+    def test_damage_of_an_entry_before_others(self) -> None:
         recovered = self.damage([append(b"first"), append(b"second"), append(b"third")], (LOG_NAMES[0], 46))
         self.assertEqual(recovered.corrupt, "log-0: entry 1 is damaged")
         self.assertEqual(recovered.entries, [])
 
-    def test_the_header_of_the_log(self) -> None:
+    def test_damage_of_the_log_header(self) -> None:
         self.assertIn("log-1", self.damage([snapshot(b"s"), append(b"x")], (LOG_NAMES[1], 5)).corrupt)
 
-    def test_the_snapshot_below_the_log(self) -> None:
+    def test_damage_of_the_snapshot_before_the_log(self) -> None:
         history = [snapshot(b"one"), append(b"x"), snapshot(b"two"), append(b"y")]
         self.assertIn("state-0", self.damage(history, (STATE_NAMES[0], 25)).corrupt)
 
-    def test_the_newest_snapshot_while_a_newer_one_was_begun(self) -> None:
+    def test_damage_of_the_newest_snapshot_after_a_newer_one_was_begun(self) -> None:
         machine = ModelMachine()
         machine.run([snapshot(b"one"), snapshot(b"two")])
         store = Store(FOLDER, machine.disk)
         store.open()
-        machine.disk.kill_at = machine.disk.operations + 3  # the log is reset, and the snapshot not written
+        machine.disk.kill_at = machine.disk.operations + 3  # the log is reset, but the snapshot is not written
         with self.assertRaises(ProcessKilled):
             store.replace(b"three")
         machine.disk.kill_at = -1
@@ -396,19 +398,19 @@
         machine.disk.inodes[STATE_NAMES[0]].durable = b"nothing"
         self.assertEqual(Store(FOLDER, machine.disk).open(), RecoveredData(corrupt="log-1: no valid header"))
 
-    def test_both_snapshots(self) -> None:
+    def test_damage_of_both_snapshots(self) -> None:
         history = [snapshot(b"one"), snapshot(b"two")]
-        places = [(name, 25) for name in STATE_NAMES]
-        self.assertEqual(self.damage(history, *places).corrupt, "no valid snapshot")
+        locations = [(name, 25) for name in STATE_NAMES]
+        self.assertEqual(self.damage(history, *locations).corrupt, "no valid snapshot")
 
-    def test_both_records_of_promises(self) -> None:
+    def test_damage_of_both_promise_records(self) -> None:
         history = [epochs(b"one"), epochs(b"two"), append(b"x")]
-        places = [(name, 25) for name in EPOCHS_NAMES]
-        recovered = self.damage(history, *places)
+        locations = [(name, 25) for name in EPOCHS_NAMES]
+        recovered = self.damage(history, *locations)
         self.assertEqual((recovered.corrupt, recovered.fresh), ("no valid record of promises", False))
 
     def test_a_damaged_folder_can_be_formatted(self) -> None:
-        """At any crash in between it is still refused, or fresh; afterwards it keeps what it is told."""
+        """After a crash during `format` the store is still corrupt, or fresh; afterwards it stores data again."""
         history = [snapshot(b"one"), append(b"x"), epochs(b"p"), append(b"y")]
         base = ModelMachine()
         base.run(history)
@@ -445,7 +447,7 @@
         self.calls: list[str] = []
         self.problems: list[DiskProblem] = []
         self.time = 0.0
-        self.heals_at = 0.0
+        self.recovers_at = 0.0
         self.writer = DiskWriter(
             self.store,
             deliver=lambda action: action(),
@@ -455,10 +457,10 @@
         )
 
     def pause(self, seconds: float) -> None:
-        self.assertEqual(self.calls, [], "nothing may be acknowledged while the disk refuses")
+        self.assertEqual(self.calls, [], "nothing may be acknowledged while the disk reports errors")
         self.time += seconds
-        if self.time >= self.heals_at:
-            self.disk.refusals = 0
+        if self.time >= self.recovers_at:
+            self.disk.failing_operations = 0
 
     def note(self, name: str) -> Callable[[], None]:
         return lambda: self.calls.append(name)
@@ -479,7 +481,7 @@
         self.assertEqual(self.disk.syncs - before, 1)
         self.assertEqual(self.calls, [str(number) for number in range(20)])
 
-    def test_order_is_kept_across_kinds(self) -> None:
+    def test_order_is_kept_across_kinds_of_operations(self) -> None:
         self.writer.append(b"1", self.note("append 1"))
         self.writer.write_epochs(b"p", self.note("epochs"))
         self.writer.append(b"2", self.note("append 2"))
@@ -490,7 +492,7 @@
         self.disk.lose_power(LoseAll())
         self.assertEqual(Store(FOLDER, self.disk).open(), RecoveredData(b"p", b"s", [b"3"]))
 
-    def test_the_last_of_several_holds(self) -> None:
+    def test_the_last_of_several_records_is_stored(self) -> None:
         for number in (b"1", b"2"):
             self.writer.write_epochs(number, self.note("epochs"))
         for number in (b"3", b"4"):
@@ -499,18 +501,18 @@
         self.assertEqual(self.calls, ["epochs", "epochs", "replace", "replace"])
         self.assertEqual(Store(FOLDER, self.disk).open(), RecoveredData(b"2", b"4"))
 
-    def test_a_disk_that_refuses_for_a_while(self) -> None:
-        self.heals_at = REPORT_FAILURE_AFTER_SECONDS / 2
-        self.disk.refusals = 1_000_000
+    def test_a_disk_that_fails_briefly_is_not_reported(self) -> None:
+        self.recovers_at = REPORT_FAILURE_AFTER_SECONDS / 2
+        self.disk.failing_operations = 1_000_000
         self.writer.append(b"1", self.note("one"))
         self.writer.drain()
         self.assertEqual((self.calls, self.problems), (["one"], []))
         self.disk.lose_power(LoseAll())
         self.assertEqual(Store(FOLDER, self.disk).open().entries, [b"1"])
 
-    def test_a_disk_that_refuses_for_long_is_reported_once(self) -> None:
-        self.heals_at = REPORT_FAILURE_AFTER_SECONDS * 4
-        self.disk.refusals = 1_000_000
+    def test_a_disk_that_fails_for_long_is_reported_once(self) -> None:
+        self.recovers_at = REPORT_FAILURE_AFTER_SECONDS * 4
+        self.disk.failing_operations = 1_000_000
         self.writer.write_epochs(b"p", self.note("epochs"))
         self.writer.drain()
         self.assertEqual([problem.step for problem in self.problems], ["write_epochs"])
@@ -523,9 +525,9 @@
         self.writer.append(bytes(100), self.note("more"))
         self.assertTrue(self.writer.wants_snapshot())
         self.writer.replace(b"s", self.note("replace"))
-        self.assertFalse(self.writer.wants_snapshot(), "asked for already")
+        self.assertFalse(self.writer.wants_snapshot(), "the snapshot is queued already")
 
-    def test_a_long_log_that_was_found_wants_a_snapshot(self) -> None:
+    def test_a_long_recovered_log_wants_a_snapshot(self) -> None:
         self.store.append([bytes(MIB)])
         again = Store(FOLDER, self.disk)
         again.open()
@@ -537,7 +539,7 @@
         self.assertEqual(log_limit(4), MIB // 4)
         self.assertLessEqual(2 * log_limit(1), MIB // 2)
 
-    def test_a_callback_that_raises_takes_no_other_of_its_group_with_it(self) -> None:
+    def test_a_callback_that_raises_does_not_prevent_others_of_its_batch(self) -> None:
         failures: list[Exception] = []
 
         def deliver(action: Callable[[], None]) -> None:
@@ -573,21 +575,21 @@
             self.assertEqual(again.open(), RecoveredData(b"p", b"s", [b"2"]))
             again.close()
 
-    def test_opening_waits_for_a_disk_that_refuses(self) -> None:
+    def test_opening_retries_while_the_disk_fails(self) -> None:
         self.store.append([b"1"])
-        self.disk.refusals = 1_000_000
-        self.heals_at = 2.0
+        self.disk.failing_operations = 1_000_000
+        self.recovers_at = 2.0
         recovered = open_store(Store(FOLDER, self.disk), 10.0, self.pause, lambda: self.time)
         self.assertEqual(recovered, RecoveredData(entries=[b"1"]))
 
-    def test_opening_gives_up_in_the_end(self) -> None:
-        self.disk.refusals = 1_000_000
-        self.heals_at = 100.0
+    def test_opening_fails_after_its_timeout(self) -> None:
+        self.disk.failing_operations = 1_000_000
+        self.recovers_at = 100.0
         problem = open_store(Store(FOLDER, self.disk), 3.0, self.pause, lambda: self.time)
         self.assertIsInstance(problem, DiskProblem)
         self.assertLessEqual(self.time, 3.0 + MAX_BACKOFF_SECONDS)
 
-    def test_a_machine_without_a_disk(self) -> None:
+    def test_memory_disk_acknowledges_without_storing(self) -> None:
         disk = MemoryDisk(lambda action: action())
         disk.append(b"1", self.note("append"))
         disk.write_epochs(b"p", self.note("epochs"))
