--- a/pipitledge/runtime/call_threads.py
+++ b/pipitledge/runtime/call_threads.py
@@ -78,7 +78,7 @@
             return True
 
     def busy(self) -> int:
-        """Return the number of calls accepted for execution and not finished, without those waiting for their address."""
+        """Return the number of calls that run or wait for a thread; calls waiting for their address are not counted."""
         with self._changed:
             return sum(peer.running for peer in self._peers.values())
 
--- a/pipitledge/runtime/disk_writer.py
+++ b/pipitledge/runtime/disk_writer.py
@@ -59,20 +59,20 @@
         self,
         store: Store,
         deliver: DeliverCallback,
-        on_refused: Callable[[DiskProblem], None],
+        on_failing: Callable[[DiskProblem], None],
         disk_mb: int = 0,
         pause: Callable[[float], None] = time.sleep,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
         """Write to `store`, which must be open.
 
-        `deliver` runs a callback and may be called from any thread. `on_refused` is delivered once for each series of
+        `deliver` runs a callback and may be called from any thread. `on_failing` is delivered once for each series of
         failures that lasts REPORT_FAILURE_AFTER_SECONDS; the writer keeps retrying. `disk_mb` is the size of the disk
         (0: unknown).
         """
         self._store = store
         self._deliver = deliver
-        self._on_refused = on_refused
+        self._on_failing = on_failing
         self._log_limit = log_limit(disk_mb)
         self._log_bytes = store.log_bytes
         self._pause = pause
@@ -145,19 +145,19 @@
 
     def _write_until_durable(self, batch: _Batch) -> None:
         pause = INITIAL_BACKOFF_SECONDS
-        refused_since: float | None = None
+        failing_since: float | None = None
         reported = False
         while (problem := self._try_write(batch)) is not None:
-            if refused_since is None:
-                refused_since = self._now()
+            if failing_since is None:
+                failing_since = self._now()
                 self._log.error("disk_refuses", step=problem.step, reason=problem.reason)
-            if not reported and self._now() - refused_since >= REPORT_FAILURE_AFTER_SECONDS:
+            if not reported and self._now() - failing_since >= REPORT_FAILURE_AFTER_SECONDS:
                 reported = True
-                self._deliver(_FailureReport(self._on_refused, problem))
+                self._deliver(_FailureReport(self._on_failing, problem))
             self._pause(pause)
             pause = min(2 * pause, MAX_BACKOFF_SECONDS)
-        if refused_since is not None:
-            self._log.info("disk_accepts", step=batch.step.value, seconds=self._now() - refused_since)
+        if failing_since is not None:
+            self._log.info("disk_accepts", step=batch.step.value, seconds=self._now() - failing_since)
 
     def _try_write(self, batch: _Batch) -> DiskProblem | None:
         """Write the batch; return the problem if the disk reports an error."""
@@ -223,14 +223,14 @@
 
 
 class _FailureReport:
-    """A callback that reports a disk problem to `on_refused`."""
+    """A callback that reports a disk problem to `on_failing`."""
 
-    def __init__(self, on_refused: Callable[[DiskProblem], None], problem: DiskProblem) -> None:
-        self._on_refused = on_refused
+    def __init__(self, on_failing: Callable[[DiskProblem], None], problem: DiskProblem) -> None:
+        self._on_failing = on_failing
         self._problem = problem
 
     def __call__(self) -> None:
-        self._on_refused(self._problem)
+        self._on_failing(self._problem)
 
 
 def _batches(operations: list[_Operation]) -> list[_Batch]:
--- a/pipitledge/runtime/http_client.py
+++ b/pipitledge/runtime/http_client.py
@@ -53,7 +53,7 @@
 OnResult = Callable[[CallResult], None]
 
 TIMED_OUT = CallResult(reason="timeout")
-BUSY = CallResult(reason="too many calls under way")
+BUSY = CallResult(reason="too many calls in progress")
 
 
 class _CallInFlight:
@@ -135,11 +135,11 @@
             assert_same_host=False,
             timeout=urllib3.Timeout(connect=min(CONNECT_SECONDS, call.timeout), read=call.timeout),
         )
-        answered = response.headers.get(CALL_ID_HEADER, "")
-        if call.call_id and answered not in ("", call.call_id):
+        answer_id = response.headers.get(CALL_ID_HEADER, "")
+        if call.call_id and answer_id not in ("", call.call_id):
             self._discard_pool(call.address)  # its connections may deliver answers to other calls
-            return CallResult(reason=f"answer to another call: {answered}")
-        if call.call_id and not answered and response.status == OK:
+            return CallResult(reason=f"answer to another call: {answer_id}")
+        if call.call_id and not answer_id and response.status == OK:
             return CallResult(reason="answer without a call id")
         accepts_deflate = response.headers.get(ACCEPT_ENCODING, "") == DEFLATE
         return CallResult(response.status, response.data, accepts_deflate)
--- a/pipitledge/runtime/http_connections.py
+++ b/pipitledge/runtime/http_connections.py
@@ -123,7 +123,7 @@
         expire_at = time.monotonic() + expiration_interval
         while not self._stop_requested:
             self._serve_ready(RETIRE_POLL_SECONDS if self._retiring else expiration_interval)
-            if self._retiring and self._retired():
+            if self._retiring and self._finish_if_idle():
                 return
             if time.monotonic() >= expire_at:
                 self._expire(time.monotonic() - self.server.options.idle_seconds)
@@ -138,13 +138,13 @@
             elif what is WAKE:
                 os.read(self._wake_read, WAKE_BYTES)
             else:
-                # Counted before it leaves the selector, so that `_retired` never misses the request.
+                # Counted before it leaves the selector, so that `_finish_if_idle` never misses the request.
                 self.in_flight.begin()
                 self._selector.unregister(descriptor)
                 self.server.process_conn(what)
         return len(ready)
 
-    def _retired(self) -> bool:
+    def _finish_if_idle(self) -> bool:
         """Finish and return True if no request is in progress and no connection has data to read."""
         if self._listening:
             self._stop_listening()
--- a/pipitledge/runtime/ports.py
+++ b/pipitledge/runtime/ports.py
@@ -53,7 +53,7 @@
 class Disk(Protocol):
     """The durable storage of a voting member. Callbacks run in call order, once the data would survive a power loss.
 
-    A disk that hangs calls back late. A disk that refuses a write does not call back, and the process ends itself.
+    If the disk hangs, callbacks come late. If it refuses a write, no callback comes, and the process ends itself.
     """
 
     def write_epochs(self, record: bytes, on_durable: Callable[[], None]) -> None:
--- a/pipitledge/runtime/settings.py
+++ b/pipitledge/runtime/settings.py
@@ -150,13 +150,13 @@
 
 def _without_empty(table: Mapping[str, Any]) -> dict[str, Any]:
     """Return the table without empty strings, lists and tables, at any depth."""
-    kept: dict[str, Any] = {}
+    result: dict[str, Any] = {}
     for key, value in table.items():
         if isinstance(value, dict):
             value = _without_empty(value)
         if value not in ("", [], {}):
-            kept[key] = value
-    return kept
+            result[key] = value
+    return result
 
 
 def _reasons(errors: Any, path: str = "") -> list[str]:
--- a/tests/system/test_http_end.py
+++ b/tests/system/test_http_end.py
@@ -53,9 +53,7 @@
         connection.sendall(CALL.replace(b"/call", b"/held"))
         eventually(lambda: len(self.held) == 1)
         self.server.retire()
-        with self.assertRaises(
-            (ConnectionRefusedError, ConnectionResetError)
-        ):  # reset if the listening socket is closed meanwhile
+        with self.assertRaises((ConnectionRefusedError, ConnectionResetError)):  # reset while the socket closes
             while True:
                 self.connect()
         with self.assertRaises(ConnectionRefusedError):
--- a/tests/system/test_storage.py
+++ b/tests/system/test_storage.py
@@ -58,19 +58,19 @@
         else:
             store.write_epochs(self.data[0])
 
-    def after(self, kept: StoreContent) -> StoreContent:
+    def after(self, expected: StoreContent) -> StoreContent:
         if self.kind == "append":
-            return replace(kept, entries=kept.entries + self.data)
+            return replace(expected, entries=expected.entries + self.data)
         if self.kind == "replace":
-            return replace(kept, snapshot=self.data[0], entries=())
-        return replace(kept, epochs=self.data[0])
+            return replace(expected, snapshot=self.data[0], entries=())
+        return replace(expected, epochs=self.data[0])
 
-    def possible_after(self, kept: StoreContent) -> set[StoreContent]:
+    def possible_after(self, expected: StoreContent) -> set[StoreContent]:
         """Return all contents that may be found after the call was interrupted."""
         if self.kind != "append":
-            return {kept, self.after(kept)}
+            return {expected, self.after(expected)}
         counts = range(len(self.data) + 1)
-        return {replace(kept, entries=kept.entries + self.data[:count]) for count in counts}
+        return {replace(expected, entries=expected.entries + self.data[:count]) for count in counts}
 
 
 def epochs(text: bytes) -> Operation:
@@ -116,10 +116,10 @@
 
 @dataclass
 class ModelMachine:
-    """A disk with the content known to be durable (`kept`) and the contents possible after a crash."""
+    """A disk with the content known to be durable (`expected`) and the contents possible after a crash."""
 
     disk: ModelDisk = field(default_factory=ModelDisk)
-    kept: StoreContent = StoreContent()
+    expected: StoreContent = StoreContent()
     possible: set[StoreContent] = field(default_factory=lambda: {StoreContent()})
 
     def run(self, history: list[Operation]) -> bool:
@@ -128,10 +128,10 @@
             store = Store(FOLDER, self.disk)
             store.open()
             for operation in history:
-                self.possible = operation.possible_after(self.kept)
+                self.possible = operation.possible_after(self.expected)
                 operation.run(store)
-                self.kept = operation.after(self.kept)
-                self.possible = {self.kept}
+                self.expected = operation.after(self.expected)
+                self.possible = {self.expected}
         except ProcessKilled:
             return False
         return True
@@ -155,16 +155,16 @@
         self.assertEqual(recovered.corrupt, "", where)
         self.assertIn(found(recovered), machine.possible, where)
         self.assertEqual(recovered.fresh, found(recovered) == StoreContent(), where)
-        machine.kept = found(recovered)
-        machine.possible = {machine.kept}
+        machine.expected = found(recovered)
+        machine.possible = {machine.expected}
         return store
 
     def check_later_writes(self, machine: ModelMachine, store: Store, where: str) -> None:
         """Check that data written after a recovery survives the next power loss."""
         for operation in (append(b"later", b"x" * 600), epochs(b"later promise"), append(b"latest")):
             operation.run(store)
-            machine.kept = operation.after(machine.kept)
-        machine.possible = {machine.kept}
+            machine.expected = operation.after(machine.expected)
+        machine.possible = {machine.expected}
         machine.disk.lose_power(LoseAll())
         self.check_recovery(machine, f"{where}, after later writes")
 
@@ -234,8 +234,8 @@
                 start = machine.disk.operations
                 for operation in SCRIPT:
                     self.run_with_failures(operation, store, machine.disk, start + failing_at, failing_operations)
-                    machine.kept = operation.after(machine.kept)
-                machine.possible = {machine.kept}
+                    machine.expected = operation.after(machine.expected)
+                machine.possible = {machine.expected}
                 for power_loss in POWER_LOSS_OUTCOMES:
                     crashed = copy.deepcopy(machine)
                     crashed.disk.lose_power(power_loss())
@@ -334,11 +334,11 @@
 
 class DamageTest(unittest.TestCase):
     def history_states(self) -> set[StoreContent]:
-        kept = StoreContent()
-        states = {kept}
+        expected = StoreContent()
+        states = {expected}
         for operation in SCRIPT:
-            states |= operation.possible_after(kept)
-            kept = operation.after(kept)
+            states |= operation.possible_after(expected)
+            expected = operation.after(expected)
         return states
 
     def test_a_damaged_byte_is_never_returned(self) -> None:
@@ -347,7 +347,7 @@
         machine.run(SCRIPT)
         parts = {(state.snapshot, state.entries) for state in self.history_states()}
         promises = {state.epochs for state in self.history_states()}
-        refused = 0
+        corrupt_count = 0
         for name, inode in machine.disk.inodes.items():
             for offset in range(len(inode.durable)):
                 damaged = copy.deepcopy(machine.disk)
@@ -355,12 +355,12 @@
                 content[offset] ^= 0x41
                 damaged.inodes[name].durable = bytes(content)
                 recovered = Store(FOLDER, damaged).open()
-                refused += bool(recovered.corrupt)
+                corrupt_count += bool(recovered.corrupt)
                 self.assertFalse(recovered.fresh, f"{name} {offset}")
                 if not recovered.corrupt:
                     self.assertIn((recovered.snapshot, tuple(recovered.entries)), parts, f"{name} {offset}")
                     self.assertIn(recovered.epochs, promises, f"{name} {offset}")
-        self.assertGreater(refused, 0)
+        self.assertGreater(corrupt_count, 0)
 
     def damage(self, history: list[Operation], *locations: tuple[str, int]) -> RecoveredData:
         machine = ModelMachine()
@@ -451,7 +451,7 @@
         self.writer = DiskWriter(
             self.store,
             deliver=lambda action: action(),
-            on_refused=self.problems.append,
+            on_failing=self.problems.append,
             pause=self.pause,
             now=lambda: self.time,
         )
