--- a/pipitledge/agent/agent.py
+++ b/pipitledge/agent/agent.py
@@ -20,7 +20,7 @@
 from pipitledge.agent.worker_clock import MS_PER_S
 from pipitledge.agent.worker_line import BAD_REQUEST, OK, WorkerLine
 from pipitledge.runtime.handlers import Handlers
-from pipitledge.runtime.ports import Clock, WorkerClient
+from pipitledge.runtime.ports import Clock, WorkerTransport
 from pipitledge.wire.messages import AgentOrders, AgentReport, OrdersReply, View
 
 BUSY_REPORT_S = 1.0
@@ -83,7 +83,7 @@
     def __init__(
         self,
         clock: Clock,
-        worker_calls: WorkerClient,
+        worker_calls: WorkerTransport,
         primary: PrimaryCalls,
         membership: Membership,
         bounds: AgentBounds,
--- a/pipitledge/agent/worker_line.py
+++ b/pipitledge/agent/worker_line.py
@@ -9,7 +9,7 @@
 
 from pipitledge.agent.life import Life
 from pipitledge.agent.worker_messages import AnswerBody
-from pipitledge.runtime.ports import Clock, WorkerClient, WorkerResponse
+from pipitledge.runtime.ports import Clock, WorkerResponse, WorkerTransport
 
 NO_ANSWER = 0
 OK = 200
@@ -30,7 +30,7 @@
 class WorkerLine:
     """The way to the worker."""
 
-    def __init__(self, clock: Clock, calls: WorkerClient) -> None:
+    def __init__(self, clock: Clock, calls: WorkerTransport) -> None:
         """Call through the port `calls`."""
         self._clock = clock
         self._calls = calls
--- a/pipitledge/emulator/cluster/worker.py
+++ b/pipitledge/emulator/cluster/worker.py
@@ -445,7 +445,7 @@
 
 
 class ModelCalls:
-    """`WorkerClient` of one agent process."""
+    """`WorkerTransport` of one agent process."""
 
     def __init__(self, worker: ModelWorker, process: Caller) -> None:
         """Carry the calls of `process` to `worker`."""
--- a/pipitledge/emulator/soak/workers.py
+++ b/pipitledge/emulator/soak/workers.py
@@ -17,7 +17,7 @@
 from pipitledge.runtime.executor import SerialExecutor
 from pipitledge.runtime.http_server import HttpServer, ServerOptions
 from pipitledge.runtime.http_types import HttpRequest, HttpResponse, Respond
-from pipitledge.runtime.worker_client import INSTANCE_HEADER
+from pipitledge.runtime.worker_transport import INSTANCE_HEADER
 from pipitledge.wire.paths import INSTANCES_PREFIX
 
 ANSWER_SECONDS = 5.0
--- a/pipitledge/programs/agent.py
+++ b/pipitledge/programs/agent.py
@@ -10,7 +10,7 @@
 from pipitledge.programs.worker_front import worker_front
 from pipitledge.runtime import logs
 from pipitledge.runtime.http_server import ServerOptions
-from pipitledge.runtime.worker_client import HttpWorkerClient
+from pipitledge.runtime.worker_transport import HttpWorkerTransport
 
 CONTROL_BODY_BYTES = 4 * 1024 * 1024
 FINISH_SECONDS = 1.0  # for heartbeats that are being answered when the process is to end
@@ -47,7 +47,7 @@
     )
     agent = Agent(
         core.executor,
-        HttpWorkerClient(core.executor, settings.app),
+        HttpWorkerTransport(core.executor, settings.app),
         caller,
         core.membership,
         settings.bounds,
--- a/pipitledge/runtime/ports.py
+++ b/pipitledge/runtime/ports.py
@@ -77,7 +77,7 @@
     refused: bool = False  # the connection was refused: no process listens at the worker's address
 
 
-class WorkerClient(Protocol):
+class WorkerTransport(Protocol):
     """An agent's calls to the worker on its machine."""
 
     def post(
--- a/pipitledge/runtime/worker_client.py
+++ b/pipitledge/runtime/worker_transport.py
@@ -1,4 +1,4 @@
-"""The client by which an agent calls the worker on its machine; implements the port `WorkerClient`."""
+"""The HTTP transport by which an agent calls the worker on its machine; implements the port `WorkerTransport`."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 INSTANCE_HEADER = "X-Expect-Instance"
 
 
-class HttpWorkerClient:
+class HttpWorkerTransport:
     """Posts JSON to one worker over pooled connections."""
 
     def __init__(self, executor: SerialExecutor, address: str) -> None:
--- a/tests/system/agent_worker.py
+++ b/tests/system/agent_worker.py
@@ -306,7 +306,7 @@
 
 
 class ModelCalls:
-    """`WorkerClient` of one agent process."""
+    """`WorkerTransport` of one agent process."""
 
     def __init__(self, worker: ModelWorker, process: Process) -> None:
         self._worker = worker
--- a/tests/system/test_runtime.py
+++ b/tests/system/test_runtime.py
@@ -25,7 +25,7 @@
 from pipitledge.runtime.settings_watcher import SettingsWatcher
 from pipitledge.runtime.timers import MAX_CANCELLED, TimerQueue
 from pipitledge.runtime.transport import NoFreePortError, Transport
-from pipitledge.runtime.worker_client import HttpWorkerClient
+from pipitledge.runtime.worker_transport import HttpWorkerTransport
 from pipitledge.wire import codec
 from pipitledge.wire.messages import EpochQuery, EpochReply, StatusReply, StatusRequest
 from tests.system.runtime_case import LOG, LOOPBACK, WAIT_SECONDS, HttpServerCase, ResultBox, eventually
@@ -399,7 +399,7 @@
 
 class WorkerClientTest(HttpServerCase):
     def post(self, address: str, instance: str) -> WorkerResponse:
-        calls = HttpWorkerClient(self.executor, address)
+        calls = HttpWorkerTransport(self.executor, address)
         self.addCleanup(calls.close)
         box = ResultBox[WorkerResponse]()
         calls.post("/pipitledge/hold", b"{}", instance, WAIT_SECONDS, box.put)
