--- a/pipitledge/agent/agent.py
+++ b/pipitledge/agent/agent.py
@@ -20,7 +20,7 @@
 from pipitledge.agent.worker_clock import MS_PER_S
 from pipitledge.agent.worker_instance import BadHeartbeat, HeartbeatEffect, InstanceTracker, WorkerInstance
 from pipitledge.runtime.handlers import Handlers
-from pipitledge.runtime.ports import Clock, WorkerCalls
+from pipitledge.runtime.ports import Clock, WorkerTransport
 from pipitledge.wire.messages import AgentOrders, AgentReport, OrdersReply, View
 
 BUSY_REPORT_S = 1.0
@@ -83,7 +83,7 @@
     def __init__(
         self,
         clock: Clock,
-        worker_calls: WorkerCalls,
+        worker_calls: WorkerTransport,
         primary: PrimaryCalls,
         membership: Membership,
         bounds: AgentBounds,
--- a/pipitledge/agent/worker_client.py
+++ b/pipitledge/agent/worker_client.py
@@ -9,7 +9,7 @@
 
 from pipitledge.agent.worker_instance import WorkerInstance
 from pipitledge.agent.worker_messages import AnswerBody
-from pipitledge.runtime.ports import Clock, WorkerAnswer, WorkerCalls
+from pipitledge.runtime.ports import Clock, WorkerResponse, WorkerTransport
 
 NO_ANSWER = 0
 OK = 200
@@ -30,7 +30,7 @@
 class WorkerClient:
     """Calls the worker beside this agent."""
 
-    def __init__(self, clock: Clock, calls: WorkerCalls) -> None:
+    def __init__(self, clock: Clock, calls: WorkerTransport) -> None:
         """`calls` is the port that makes the HTTP requests."""
         self._clock = clock
         self._calls = calls
@@ -50,14 +50,14 @@
         """
         sent_at = self._clock.now()
 
-        def answered(answer: WorkerAnswer) -> None:
+        def answered(answer: WorkerResponse) -> None:
             if answer.status != NO_ANSWER and not waits:
                 worker.response_times.answered(self._clock.now() - sent_at)
             on_reply(self._handle_answer(worker, sent_at, answer))
 
         self._calls.post(path, msgspec.json.encode(body), worker.instance, timeout, answered)
 
-    def _handle_answer(self, worker: WorkerInstance, sent_at: float, answer: WorkerAnswer) -> WorkerReply:
+    def _handle_answer(self, worker: WorkerInstance, sent_at: float, answer: WorkerResponse) -> WorkerReply:
         now = self._clock.now()
         if answer.status == NO_ANSWER:
             worker.call_unanswered(sent_at, now, answer.refused)
--- a/pipitledge/runtime/disk_writer.py
+++ b/pipitledge/runtime/disk_writer.py
@@ -1,8 +1,8 @@
-"""The `Disk` of a counted node: a thread of its own writes to the store, so that logic never waits for the disk.
+"""The `Disk` of a voting member: a dedicated thread writes to the store, so that the logic never waits for the disk.
 
-Calls are queued. The thread takes all that is queued at a time, and writes appends that follow each other with one
-sync (group commit). Order is kept. What the disk refuses is tried again until it succeeds; callbacks wait for that, so
-nothing is acknowledged falsely.
+Operations are queued. The thread takes the whole queue at once and writes consecutive appends with a single sync
+(group commit). Operations keep their order. A failed write is retried until it succeeds, and its callback is only
+called then, so that no data is acknowledged before it is durable.
 """
 
 from __future__ import annotations
@@ -16,62 +16,63 @@
 
 from pipitledge.runtime import logs
 from pipitledge.runtime.log_file import ENTRY_HEADER_BYTES
-from pipitledge.runtime.storage import Recovered, Store, log_limit
+from pipitledge.runtime.storage import RecoveredData, Store, log_limit
 
-FIRST_PAUSE_SECONDS = 0.05
-LONGEST_PAUSE_SECONDS = 0.5
-REFUSED_AFTER_SECONDS = 5.0
+INITIAL_BACKOFF_SECONDS = 0.05
+MAX_BACKOFF_SECONDS = 0.5
+REPORT_FAILURE_AFTER_SECONDS = 5.0
 
-Deliver = Callable[[Callable[[], None]], None]
-Durable = Callable[[], None]
+DeliverCallback = Callable[[Callable[[], None]], None]
+DurableCallback = Callable[[], None]
 
 
 class DiskProblem(Struct, frozen=True):
-    """A disk that has refused for long."""
+    """A disk operation that fails: the name of the operation and the error."""
 
     step: str
     reason: str
 
 
-class _Step(enum.Enum):
+class _OperationKind(enum.Enum):
     EPOCHS = "write_epochs"
     APPEND = "append"
     REPLACE = "replace"
 
 
 class _Operation(Struct, frozen=True):
-    step: _Step
+    step: _OperationKind
     data: bytes
-    on_durable: Durable
+    on_durable: DurableCallback
 
 
-class _Group(Struct, frozen=True):
-    """Operations carried out as one; all but appends stand alone."""
+class _Batch(Struct, frozen=True):
+    """Operations written together; only consecutive appends share a batch."""
 
-    step: _Step
+    step: _OperationKind
     operations: list[_Operation]
 
 
 class DiskWriter:
-    """Queues what is to be kept, and writes it on its own thread."""
+    """Queues disk operations and carries them out on its own thread."""
 
     def __init__(
         self,
         store: Store,
-        deliver: Deliver,
-        on_refused: Callable[[DiskProblem], None],
+        deliver: DeliverCallback,
+        on_failing: Callable[[DiskProblem], None],
         disk_mb: int = 0,
         pause: Callable[[float], None] = time.sleep,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Write to `store`, which is open.
+        """Write to `store`, which must be open.
 
-        `deliver` is handed what is to be called; it may be called from any thread. `on_refused` is delivered once each
-        time that the disk refuses for REFUSED_AFTER_SECONDS; the writer goes on trying.
+        `deliver` runs a callback and may be called from any thread. `on_failing` is delivered once for each series of
+        failures that lasts REPORT_FAILURE_AFTER_SECONDS; the writer keeps retrying. `disk_mb` is the size of the disk
+        (0: unknown).
         """
         self._store = store
         self._deliver = deliver
-        self._on_refused = on_refused
+        self._on_failing = on_failing
         self._log_limit = log_limit(disk_mb)
         self._log_bytes = store.log_bytes
         self._pause = pause
@@ -83,49 +84,49 @@
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the writer thread."""
         self._thread.start()
 
     def close(self, timeout: float) -> None:
-        """Let the thread write what is queued, and end; wait for that no longer than `timeout` seconds."""
+        """Let the thread write the queued operations and end; wait at most `timeout` seconds for that."""
         with self._changed:
             self._closing = True
             self._changed.notify()
         if self._thread.is_alive():
             self._thread.join(timeout)
 
-    def write_epochs(self, record: bytes, on_durable: Durable) -> None:
-        """Replace the small record of promises."""
-        self._put(_Operation(_Step.EPOCHS, record, on_durable))
+    def write_epochs(self, record: bytes, on_durable: DurableCallback) -> None:
+        """Queue a replacement of the promise record."""
+        self._enqueue(_Operation(_OperationKind.EPOCHS, record, on_durable))
 
-    def append(self, record: bytes, on_durable: Durable) -> None:
-        """Add one entry to the log."""
+    def append(self, record: bytes, on_durable: DurableCallback) -> None:
+        """Queue one log entry."""
         self._log_bytes += ENTRY_HEADER_BYTES + len(record)
-        self._put(_Operation(_Step.APPEND, record, on_durable))
+        self._enqueue(_Operation(_OperationKind.APPEND, record, on_durable))
 
-    def replace(self, snapshot: bytes, on_durable: Durable) -> None:
-        """Replace all state and empty the log, atomically."""
+    def replace(self, snapshot: bytes, on_durable: DurableCallback) -> None:
+        """Queue an atomic replacement of all state by `snapshot`, which empties the log."""
         self._log_bytes = 0
-        self._put(_Operation(_Step.REPLACE, snapshot, on_durable))
+        self._enqueue(_Operation(_OperationKind.REPLACE, snapshot, on_durable))
 
     def wants_snapshot(self) -> bool:
-        """Whether the log, with what is queued for it, has grown beyond its limit."""
+        """Return whether the log, including queued entries, has grown beyond its limit."""
         return self._log_bytes > self._log_limit
 
     def drain(self) -> None:
-        """Write all that is queued, on the calling thread."""
-        for group in _grouped(self._take()):
-            self._write_until_durable(group)
-            for operation in group.operations:
+        """Carry out all queued operations on the calling thread."""
+        for batch in _batches(self._take_queued()):
+            self._write_until_durable(batch)
+            for operation in batch.operations:
                 self._deliver(operation.on_durable)
 
-    def _put(self, operation: _Operation) -> None:
+    def _enqueue(self, operation: _Operation) -> None:
         with self._changed:
             self._queue.append(operation)
             if len(self._queue) == 1:
                 self._changed.notify()
 
-    def _take(self) -> list[_Operation]:
+    def _take_queued(self) -> list[_Operation]:
         with self._changed:
             taken = self._queue
             self._queue = []
@@ -136,76 +137,76 @@
             self.drain()
 
     def _wait_for_work(self) -> bool:
-        """Wait until something is queued; False if nothing is, and nothing will be."""
+        """Wait until an operation is queued; return False once the writer is closing and the queue is empty."""
         with self._changed:
             while not self._queue and not self._closing:
                 self._changed.wait()
             return bool(self._queue)
 
-    def _write_until_durable(self, group: _Group) -> None:
-        pause = FIRST_PAUSE_SECONDS
-        refused_since: float | None = None
+    def _write_until_durable(self, batch: _Batch) -> None:
+        pause = INITIAL_BACKOFF_SECONDS
+        failing_since: float | None = None
         reported = False
-        while (problem := self._try(group)) is not None:
-            if refused_since is None:
-                refused_since = self._now()
+        while (problem := self._try_write(batch)) is not None:
+            if failing_since is None:
+                failing_since = self._now()
                 self._log.error("disk_refuses", step=problem.step, reason=problem.reason)
-            if not reported and self._now() - refused_since >= REFUSED_AFTER_SECONDS:
+            if not reported and self._now() - failing_since >= REPORT_FAILURE_AFTER_SECONDS:
                 reported = True
-                self._deliver(_Refusal(self._on_refused, problem))
+                self._deliver(_FailureReport(self._on_failing, problem))
             self._pause(pause)
-            pause = min(2 * pause, LONGEST_PAUSE_SECONDS)
-        if refused_since is not None:
-            self._log.info("disk_accepts", step=group.step.value, seconds=self._now() - refused_since)
+            pause = min(2 * pause, MAX_BACKOFF_SECONDS)
+        if failing_since is not None:
+            self._log.info("disk_accepts", step=batch.step.value, seconds=self._now() - failing_since)
 
-    def _try(self, group: _Group) -> DiskProblem | None:
-        """Carry the group out; why not, if the disk refuses."""
+    def _try_write(self, batch: _Batch) -> DiskProblem | None:
+        """Write the batch; return the problem if the disk reports an error."""
         try:
-            self._carry_out(group)
+            self._write(batch)
         except OSError as error:
-            return DiskProblem(group.step.value, str(error))
+            return DiskProblem(batch.step.value, str(error))
         return None
 
-    def _carry_out(self, group: _Group) -> None:
-        if group.step is _Step.APPEND:
-            self._store.append([operation.data for operation in group.operations])
-        elif group.step is _Step.REPLACE:
-            self._store.replace(group.operations[0].data)
+    def _write(self, batch: _Batch) -> None:
+        if batch.step is _OperationKind.APPEND:
+            self._store.append([operation.data for operation in batch.operations])
+        elif batch.step is _OperationKind.REPLACE:
+            self._store.replace(batch.operations[0].data)
         else:
-            self._store.write_epochs(group.operations[0].data)
+            self._store.write_epochs(batch.operations[0].data)
 
 
 class MemoryDisk:
-    """Stands in for the disk of a counted node that has none: everything is lost with the process."""
+    """The `Disk` of a voting member without a data folder: all data is lost when the process ends."""
 
-    def __init__(self, deliver: Deliver) -> None:
-        """Hand all callbacks to `deliver`."""
+    def __init__(self, deliver: DeliverCallback) -> None:
+        """Pass every callback to `deliver`, as if the data were durable."""
         self._deliver = deliver
 
-    def write_epochs(self, record: bytes, on_durable: Durable) -> None:
-        """Keep nothing."""
+    def write_epochs(self, record: bytes, on_durable: DurableCallback) -> None:
+        """Discard the record and report it as durable."""
         self._deliver(on_durable)
 
-    def append(self, record: bytes, on_durable: Durable) -> None:
-        """Keep nothing."""
+    def append(self, record: bytes, on_durable: DurableCallback) -> None:
+        """Discard the entry and report it as durable."""
         self._deliver(on_durable)
 
-    def replace(self, snapshot: bytes, on_durable: Durable) -> None:
-        """Keep nothing."""
+    def replace(self, snapshot: bytes, on_durable: DurableCallback) -> None:
+        """Discard the snapshot and report it as durable."""
         self._deliver(on_durable)
 
     def wants_snapshot(self) -> bool:
-        """Never: there is no log."""
+        """Return False: there is no log."""
         return False
 
 
 def open_store(
     store: Store,
-    patience: float,
+    timeout: float,
     pause: Callable[[float], None] = time.sleep,
     now: Callable[[], float] = time.monotonic,
-) -> Recovered | DiskProblem:
-    """Open a store whose disk may refuse for a while; a problem after `patience` seconds of that."""
+) -> RecoveredData | DiskProblem:
+    """Open the store, retrying while the disk reports errors; return the problem after `timeout` seconds."""
     started = now()
     reported = False
     while True:
@@ -216,28 +217,28 @@
         if not reported:
             logs.get("disk").error("disk_refuses", step=problem.step, reason=problem.reason)
             reported = True
-        if now() - started >= patience:
+        if now() - started >= timeout:
             return problem
-        pause(LONGEST_PAUSE_SECONDS)
+        pause(MAX_BACKOFF_SECONDS)
 
 
-class _Refusal:
-    """Tells of a disk that refuses."""
+class _FailureReport:
+    """A callback that reports a disk problem to `on_failing`."""
 
-    def __init__(self, on_refused: Callable[[DiskProblem], None], problem: DiskProblem) -> None:
-        self._on_refused = on_refused
+    def __init__(self, on_failing: Callable[[DiskProblem], None], problem: DiskProblem) -> None:
+        self._on_failing = on_failing
         self._problem = problem
 
     def __call__(self) -> None:
-        self._on_refused(self._problem)
+        self._on_failing(self._problem)
 
 
-def _grouped(operations: list[_Operation]) -> list[_Group]:
-    """The operations in their order, appends that follow each other together."""
-    groups: list[_Group] = []
+def _batches(operations: list[_Operation]) -> list[_Batch]:
+    """Split the operations into batches, in order; consecutive appends share a batch."""
+    batches: list[_Batch] = []
     for operation in operations:
-        if groups and operation.step is _Step.APPEND and groups[-1].step is _Step.APPEND:
-            groups[-1].operations.append(operation)
+        if batches and operation.step is _OperationKind.APPEND and batches[-1].step is _OperationKind.APPEND:
+            batches[-1].operations.append(operation)
         else:
-            groups.append(_Group(operation.step, [operation]))
-    return groups
+            batches.append(_Batch(operation.step, [operation]))
+    return batches
--- a/tests/system/disk_model.py
+++ b/tests/system/disk_model.py
@@ -1,8 +1,8 @@
-"""A disk for tests that behaves as badly at a loss of power as a real one may.
+"""A model of a disk for tests, which simulates the worst that a power loss may do to a real disk.
 
-What a sync covered is kept. Every later change of a file is kept, lost or torn, each by itself, or all are lost; a
-file whose folder wasn't synced since it was made is kept or lost. The process that uses the disk can be ended at any
-operation (`end_at`), and operations can be refused.
+Synced data survives. Each later change of a file independently survives, is lost or is torn, or all of them are lost.
+A file whose folder was not synced since the file was created survives or is lost. The process that uses the disk can be
+killed at any operation (`kill_at`), and operations can be made to fail.
 """
 
 from __future__ import annotations
@@ -13,59 +13,59 @@
 SECTOR_BYTES = 512
 
 
-class Ended(Exception):
-    """The process has ended in the middle of an operation."""
+class ProcessKilled(Exception):
+    """Simulates that the process is killed in the middle of an operation."""
 
 
 @dataclass
-class Change:
-    """A write, or (`data` None) a new length."""
+class FileChange:
+    """A write, or a truncation to `offset` if `data` is None."""
 
     offset: int
     data: bytes | None
     synced: bool = False
-    refused: bool = False  # its sync failed: a later sync needn't cover it
+    sync_failed: bool = False  # its sync failed, so a later successful sync may not cover it
 
 
-class Fate:
-    """What a loss of power does to what wasn't synced."""
+class PowerLossOutcome:
+    """Decides what a power loss does to unsynced changes and names."""
 
     def keeps_name(self) -> bool:
         raise NotImplementedError
 
-    def rest_of(self, change: Change) -> list[Change]:
+    def surviving_parts(self, change: FileChange) -> list[FileChange]:
         raise NotImplementedError
 
 
-class LoseAll(Fate):
-    """Nothing that wasn't synced is kept."""
+class LoseAll(PowerLossOutcome):
+    """All unsynced changes are lost."""
 
     def keeps_name(self) -> bool:
         return False
 
-    def rest_of(self, change: Change) -> list[Change]:
+    def surviving_parts(self, change: FileChange) -> list[FileChange]:
         return []
 
 
-class KeepAll(Fate):
-    """All of it is kept."""
+class KeepAll(PowerLossOutcome):
+    """All unsynced changes survive."""
 
     def keeps_name(self) -> bool:
         return True
 
-    def rest_of(self, change: Change) -> list[Change]:
+    def surviving_parts(self, change: FileChange) -> list[FileChange]:
         return [change]
 
 
 class LoseNamesOnly(KeepAll):
-    """Changes are kept, but new files are lost."""
+    """Unsynced changes survive, but files whose folder entry was not synced are lost."""
 
     def keeps_name(self) -> bool:
         return False
 
 
-class Scatter(Fate):
-    """Each is kept, lost or torn, as the seed has it."""
+class RandomOutcome(PowerLossOutcome):
+    """Each unsynced change survives, is lost or is torn, chosen at random by the seed."""
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
@@ -73,7 +73,7 @@
     def keeps_name(self) -> bool:
         return self._random.random() < 0.5
 
-    def rest_of(self, change: Change) -> list[Change]:
+    def surviving_parts(self, change: FileChange) -> list[FileChange]:
         kind = self._random.choice(("kept", "lost", "prefix", "suffix", "sectors"))
         if kind == "lost":
             return []
@@ -83,21 +83,21 @@
             return self._some_sectors(change, change.data)
         cut = self._random.randint(0, len(change.data))
         if kind == "prefix":
-            return [Change(change.offset, change.data[:cut])]
-        return [Change(change.offset + cut, change.data[cut:])]
+            return [FileChange(change.offset, change.data[:cut])]
+        return [FileChange(change.offset + cut, change.data[cut:])]
 
-    def _some_sectors(self, change: Change, data: bytes) -> list[Change]:
+    def _some_sectors(self, change: FileChange, data: bytes) -> list[FileChange]:
         starts = range(0, len(data), SECTOR_BYTES)
         kept = [start for start in starts if self._random.random() < 0.5]
-        return [Change(change.offset + start, data[start : start + SECTOR_BYTES]) for start in kept]
+        return [FileChange(change.offset + start, data[start : start + SECTOR_BYTES]) for start in kept]
 
 
 @dataclass
-class Node:
-    """A file on the disk."""
+class ModelInode:
+    """A file on the disk: its durable content and the changes not synced yet."""
 
     durable: bytes = b""
-    changes: list[Change] = field(default_factory=list)
+    changes: list[FileChange] = field(default_factory=list)
     name_durable: bool = False
 
     def content(self) -> bytes:
@@ -105,23 +105,23 @@
 
     def sync(self) -> None:
         for change in self.changes:
-            change.synced = change.synced or not change.refused
+            change.synced = change.synced or not change.sync_failed
         while self.changes and self.changes[0].synced:
             self.durable = apply(self.durable, [self.changes.pop(0)])
 
-    def refuse_sync(self) -> None:
+    def fail_sync(self) -> None:
         for change in self.changes:
-            change.refused = not change.synced
+            change.sync_failed = not change.synced
 
-    def after_power_loss(self, fate: Fate) -> bytes:
-        rest: list[Change] = []
+    def after_power_loss(self, power_loss: PowerLossOutcome) -> bytes:
+        rest: list[FileChange] = []
         for change in self.changes:
-            rest += [change] if change.synced else fate.rest_of(change)
+            rest += [change] if change.synced else power_loss.surviving_parts(change)
         return apply(self.durable, rest)
 
 
-def apply(content: bytes, changes: list[Change]) -> bytes:
-    """The content once those changes are made."""
+def apply(content: bytes, changes: list[FileChange]) -> bytes:
+    """Return the content after the changes are applied in order."""
     changed = bytearray(content)
     for change in changes:
         end = change.offset if change.data is None else change.offset + len(change.data)
@@ -135,95 +135,95 @@
 
 
 class ModelDisk:
-    """A disk with one folder; it outlives the processes that use it."""
+    """A disk with one folder; it survives the processes that use it."""
 
     def __init__(self) -> None:
-        self.nodes: dict[str, Node] = {}
-        self.operations = 0  # those that change or sync something
+        self.inodes: dict[str, ModelInode] = {}
+        self.operations = 0  # number of operations that change or sync data
         self.syncs = 0
-        self.end_at = -1  # the operation at which the process ends
-        self.refusals = 0  # so many operations from now on are refused
+        self.kill_at = -1  # index of the operation at which the process is killed; -1: never
+        self.failing_operations = 0  # number of operations that fail from now on
 
-    def lose_power(self, fate: Fate) -> None:
-        """Leave only what a loss of power leaves."""
-        survivors: dict[str, Node] = {}
-        for name, node in self.nodes.items():
-            if node.name_durable or fate.keeps_name():
-                survivors[name] = Node(node.after_power_loss(fate), name_durable=True)
-        self.nodes = survivors
+    def lose_power(self, power_loss: PowerLossOutcome) -> None:
+        """Keep only what survives a power loss with this outcome."""
+        survivors: dict[str, ModelInode] = {}
+        for name, inode in self.inodes.items():
+            if inode.name_durable or power_loss.keeps_name():
+                survivors[name] = ModelInode(inode.after_power_loss(power_loss), name_durable=True)
+        self.inodes = survivors
 
     def wipe(self) -> None:
-        self.nodes = {}
+        self.inodes = {}
 
     def make_folder(self, folder: str) -> None:
-        """There is one folder, and it is there."""
+        """Do nothing: the only folder always exists."""
 
     def open(self, folder: str, name: str) -> ModelFile:
-        if name not in self.nodes:
-            self._step_or_refuse()
-            self.nodes[name] = Node()
-            self._end_if_due()
-        return ModelFile(self, self.nodes[name])
+        if name not in self.inodes:
+            self._count_or_fail()
+            self.inodes[name] = ModelInode()
+            self._kill_if_due()
+        return ModelFile(self, self.inodes[name])
 
     def sync_folder(self, folder: str) -> None:
-        self._step_or_refuse()
-        self._end_if_due()
+        self._count_or_fail()
+        self._kill_if_due()
         self.syncs += 1
-        for node in self.nodes.values():
-            node.name_durable = True
+        for inode in self.inodes.values():
+            inode.name_durable = True
 
-    def change(self, node: Node, change: Change) -> None:
+    def change(self, inode: ModelInode, change: FileChange) -> None:
         try:
-            self._step_or_refuse()
+            self._count_or_fail()
         except OSError:
             if change.data is not None:
-                node.changes.append(Change(change.offset, change.data[: len(change.data) // 2]))
+                inode.changes.append(FileChange(change.offset, change.data[: len(change.data) // 2]))
             raise
-        node.changes.append(change)
-        self._end_if_due()
+        inode.changes.append(change)
+        self._kill_if_due()
 
-    def sync(self, node: Node) -> None:
+    def sync(self, inode: ModelInode) -> None:
         try:
-            self._step_or_refuse()
+            self._count_or_fail()
         except OSError:
-            node.refuse_sync()
+            inode.fail_sync()
             raise
-        self._end_if_due()
+        self._kill_if_due()
         self.syncs += 1
-        node.sync()
+        inode.sync()
 
-    def _step_or_refuse(self) -> None:
+    def _count_or_fail(self) -> None:
         self.operations += 1
-        if self.refusals > 0:
-            self.refusals -= 1
+        if self.failing_operations > 0:
+            self.failing_operations -= 1
             raise OSError(5, "Input/output error")
 
-    def _end_if_due(self) -> None:
-        if self.operations - 1 == self.end_at:
-            raise Ended
+    def _kill_if_due(self) -> None:
+        if self.operations - 1 == self.kill_at:
+            raise ProcessKilled
 
 
 class ModelFile:
     """An open file of a `ModelDisk`."""
 
-    def __init__(self, disk: ModelDisk, node: Node) -> None:
+    def __init__(self, disk: ModelDisk, inode: ModelInode) -> None:
         self._disk = disk
-        self._node = node
+        self._inode = inode
 
     def read_all(self) -> bytes:
-        return self._node.content()
+        return self._inode.content()
 
     def write_at(self, offset: int, data: bytes) -> None:
-        self._disk.change(self._node, Change(offset, bytes(data)))
+        self._disk.change(self._inode, FileChange(offset, bytes(data)))
 
     def truncate(self, size: int) -> None:
-        self._disk.change(self._node, Change(size, None))
+        self._disk.change(self._inode, FileChange(size, None))
 
     def sync(self) -> None:
-        self._disk.sync(self._node)
+        self._disk.sync(self._inode)
 
     def sync_data(self) -> None:
-        self._disk.sync(self._node)
+        self._disk.sync(self._inode)
 
     def close(self) -> None:
-        """Nothing is held."""
+        """Do nothing: an open file holds no resources."""
--- a/tests/system/test_line_writer.py
+++ b/tests/system/test_line_writer.py
@@ -1,4 +1,4 @@
-"""The thread that writes log lines."""
+"""Tests of the thread that writes log lines."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from pipitledge.runtime.line_writer import LineWriter
 
-PATIENCE_SECONDS = 20.0  # a bound for broken code, never waited for
+WAIT_SECONDS = 20.0  # a test fails after this time; passing tests never wait for it
 
 
 class Sink:
-    """Keeps what is written; may refuse, or hold the writer up."""
+    """Collects the written lines; can fail (`refusals`) or block the writer while `open` is cleared."""
 
     def __init__(self) -> None:
         self.written: list[str] = []
@@ -22,7 +22,7 @@
 
     def log(self, _level: int, msg: str, /) -> None:
         self.reached.set()
-        self.open.wait(PATIENCE_SECONDS)
+        self.open.wait(WAIT_SECONDS)
         if self.refusals:
             self.refusals -= 1
             raise OSError("no space left on device")
@@ -32,33 +32,33 @@
 class LineWriterTest(unittest.TestCase):
     def setUp(self) -> None:
         self.sink = Sink()
-        self.writer = LineWriter(self.sink, most_waiting=3)
+        self.writer = LineWriter(self.sink, max_queued=3)
 
     def test_lines_are_written_in_their_order(self) -> None:
         for line in ("first", "second", "third"):
             self.writer.log(0, line)
-            self.assertTrue(self.writer.flush(PATIENCE_SECONDS))
+            self.assertTrue(self.writer.flush(WAIT_SECONDS))
         self.assertEqual(self.sink.written, ["first", "second", "third"])
 
-    def test_lines_that_find_no_room_are_counted(self) -> None:
+    def test_lines_dropped_because_the_queue_is_full_are_counted(self) -> None:
         self.sink.open.clear()
         self.writer.log(0, "held up")
-        self.assertTrue(self.sink.reached.wait(PATIENCE_SECONDS))
+        self.assertTrue(self.sink.reached.wait(WAIT_SECONDS))
         for line in ("1", "2", "3", "4", "5"):
             self.writer.log(0, line)
         self.sink.open.set()
-        self.assertTrue(self.writer.flush(PATIENCE_SECONDS))
+        self.assertTrue(self.writer.flush(WAIT_SECONDS))
         self.assertEqual(self.sink.written, ["held up", "1", "2", "3", "lines_left_out=2"])
 
-    def test_lines_after_one_that_could_not_be_written_are(self) -> None:
+    def test_lines_after_a_failed_write_are_written(self) -> None:
         self.sink.refusals = 1
         self.writer.log(0, "refused")
-        self.assertTrue(self.writer.flush(PATIENCE_SECONDS))
+        self.assertTrue(self.writer.flush(WAIT_SECONDS))
         self.writer.log(0, "next")
-        self.assertTrue(self.writer.flush(PATIENCE_SECONDS))
+        self.assertTrue(self.writer.flush(WAIT_SECONDS))
         self.assertEqual(self.sink.written, ["lines_left_out=1", "next"])
 
-    def test_a_flush_does_not_wait_for_longer_than_it_may(self) -> None:
+    def test_a_flush_waits_no_longer_than_its_timeout(self) -> None:
         self.addCleanup(self.sink.open.set)
         self.sink.open.clear()
         self.writer.log(0, "held up")
