--- a/pipitledge/programs/agent.py
+++ b/pipitledge/programs/agent.py
@@ -7,13 +7,13 @@
 from pipitledge.agent.agent import Agent, AgentIdentity
 from pipitledge.membership.primary_caller import PrimaryCaller
 from pipitledge.programs.core import Core, prepare_process, wait_for_settings
-from pipitledge.programs.worker_front import worker_front
+from pipitledge.programs.worker_http_handler import worker_handler
 from pipitledge.runtime import logs
 from pipitledge.runtime.http_server import ServerOptions
 from pipitledge.runtime.worker_calls import HttpWorkerCalls
 
 CONTROL_BODY_BYTES = 4 * 1024 * 1024
-FINISH_SECONDS = 1.0  # for heartbeats that are being answered when the process is to end
+HEARTBEAT_DRAIN_SECONDS = 1.0  # for heartbeats that are being answered when the process is to end
 
 
 def main() -> None:
@@ -26,7 +26,7 @@
         core.drain()
         core.host.run(agent.stop, "stop")
         core.retire()
-        core.wait_until_retired(core.host.now() + FINISH_SECONDS)
+        core.wait_until_retired(core.host.now() + HEARTBEAT_DRAIN_SECONDS)
 
     core.run(agent.start, end)
 
@@ -41,7 +41,7 @@
         name=settings.name,
         address=core.transport.address,
         zone=settings.zone,
-        incarnation=core.me.incarnation,
+        incarnation=core.own_descriptor.incarnation,
         app_address=settings.app,
         service=settings.service,
     )
@@ -59,7 +59,7 @@
     core.add_status("agent", agent.status)
     if settings.bind.control_plane:
         options = ServerOptions("workers", threads=1, most_threads=4, body_limit=CONTROL_BODY_BYTES, connections=64)
-        core.serve(settings.bind.control_plane, worker_front(agent), options)
+        core.serve(settings.bind.control_plane, worker_handler(agent), options)
     return agent
 
 
--- a/pipitledge/programs/control.py
+++ b/pipitledge/programs/control.py
@@ -22,8 +22,8 @@
 from pipitledge.scheduling.scheduler import Scheduler
 from pipitledge.wire.messages import View
 
-DISK_PATIENCE_SECONDS = 30.0  # for a disk that refuses to be read at the start
-AGENTS_CLASS = "side"  # of machines that workers stand on
+DISK_OPEN_TIMEOUT_SECONDS = 30.0  # for a disk that refuses to be read at the start
+AGENT_MACHINE_CLASS = "side"  # of machines that workers stand on
 MS_PER_SECOND = 1000.0
 DISK_FAILED = 3  # exit status
 
@@ -44,7 +44,7 @@
         store = Store(folder)
         self._recover(store, log)
         self._writer = DiskWriter(
-            store, core.host.deliver, lambda problem: _log_refusal(log, problem), core.settings.limits.disk_mb
+            store, core.host.deliver, lambda problem: _log_disk_refusal(log, problem), core.settings.limits.disk_mb
         )
         self.port = self._writer
 
@@ -60,12 +60,12 @@
 
     def _recover(self, store: Store, log: EventLog) -> None:
         """Read what was kept; what can't be read is treated like a lost disk."""
-        recovered = open_store(store, DISK_PATIENCE_SECONDS)
+        recovered = open_store(store, DISK_OPEN_TIMEOUT_SECONDS)
         if isinstance(recovered, Recovered) and recovered.corrupt:
             log.error("disk_corrupt", step="open", reason=recovered.corrupt)
             self.lost = True
             store.format()
-            recovered = open_store(store, DISK_PATIENCE_SECONDS)
+            recovered = open_store(store, DISK_OPEN_TIMEOUT_SECONDS)
         if isinstance(recovered, DiskProblem):
             log.error("disk_unusable", step=recovered.step, reason=recovered.reason)
             sys.exit(DISK_FAILED)
@@ -96,7 +96,7 @@
         disk.port,
         disk.recovered,
         random.Random(),
-        core.me,
+        core.own_descriptor,
         settings.bootstrap and not disk.lost,
         Tolerance(settings.tolerance.machines, settings.tolerance.zones, settings.tolerance.regions),
         core.membership,
@@ -108,7 +108,9 @@
     keeper = ConfigurationKeeper(replica, logs.get("keeper"))
     ports = Ports(core.host, core.detours, replica, keeper.current, core.host.wall_ms, logs.get("scheduler"))
     timings = SchedulerTimings(settings.bounds, settings.heartbeat_ms / MS_PER_SECOND)
-    scheduler = Scheduler(ports, timings, NodeIdentity(settings.name, core.transport.address), lambda: _agents(core))
+    scheduler = Scheduler(
+        ports, timings, NodeIdentity(settings.name, core.transport.address), lambda: _agent_addresses(core)
+    )
     keeper.publish_usage(scheduler.usage)
     services += [keeper, scheduler]  # the scheduler reads the configuration that the keeper has taken over
     for plane in (replica, keeper, scheduler):
@@ -118,27 +120,27 @@
     core.add_status("queues", lambda: queues_section(scheduler.context, core.membership))
     core.add_status("workers", lambda: workers_section(scheduler.context, core.membership))
     core.add_status("jobs", lambda: jobs_section(scheduler.context, core.membership))
-    _follow_founding(core, replica)
+    _track_bootstrap_state(core, replica)
     disk.start()
     return ControlState(replica, disk)
 
 
-def _follow_founding(core: Core, replica: Replica) -> None:
+def _track_bootstrap_state(core: Core, replica: Replica) -> None:
     """Let this node's descriptor say whether it still waits for the founding."""
 
     def describe(_view: View | None = None) -> None:
         _ = replica.view  # takes over a view that membership has heard of
-        core.me.bootstrap = replica.awaits_founding
+        core.own_descriptor.bootstrap = replica.awaits_founding
 
     core.membership.on_view(describe)
     describe()
 
 
-def _agents(core: Core) -> list[str]:
+def _agent_addresses(core: Core) -> list[str]:
     """Addresses of the agents that are known."""
-    return [node.address for node in core.membership.nodes() if node.machine_class == AGENTS_CLASS]
+    return [node.address for node in core.membership.nodes() if node.machine_class == AGENT_MACHINE_CLASS]
 
 
-def _log_refusal(log: EventLog, problem: DiskProblem) -> None:
+def _log_disk_refusal(log: EventLog, problem: DiskProblem) -> None:
     """Tell of a disk that refuses for long; the replica steps aside by itself."""
     log.error("disk_refuses_for_long", step=problem.step, reason=problem.reason)
--- a/pipitledge/programs/core.py
+++ b/pipitledge/programs/core.py
@@ -31,16 +31,16 @@
 from pipitledge.runtime.transport import Transport
 from pipitledge.wire.messages import NodeDescriptor, StatusReply, StatusRequest
 
-ANSWER_SECONDS = 10.0  # longest wait for an answer to a caller from outside
+CALL_TIMEOUT_SECONDS = 10.0  # longest wait for an answer to a caller from outside
 SETTINGS_RETRY_SECONDS = 0.5  # between looks at a settings file that is broken at the start
-STACK_BYTES = 512 * 1024  # of each thread
-SWITCH_SECONDS = 0.002  # after which a thread that computes lets another one go on
-YOUNG_OBJECTS = 20_000  # made between two looks for garbage
+THREAD_STACK_BYTES = 512 * 1024  # of each thread
+THREAD_SWITCH_SECONDS = 0.002  # after which a thread that computes lets another one go on
+GC_YOUNG_THRESHOLD = 20_000  # made between two looks for garbage
 INCARNATION_BITS = 48
-SPARE_DESCRIPTORS = 300  # for files, datagrams and outgoing calls
-RETIRED_LOOK_SECONDS = 0.02  # while the process ends, between looks whether the last call was answered
+RESERVED_FILE_DESCRIPTORS = 300  # for files, datagrams and outgoing calls
+RETIRE_POLL_SECONDS = 0.02  # while the process ends, between looks whether the last call was answered
 
-Status = Callable[[], dict[str, object]]
+StatusProvider = Callable[[], dict[str, object]]
 
 
 class Core:
@@ -54,35 +54,40 @@
         self.log = logs.get(settings.role)
         self.host = Host(logs.get("host"))
         self.handlers = Handlers()
-        self.connections = max(64, (settings.limits.max_fds - SPARE_DESCRIPTORS) // 3)  # for each busy server
+        self.connections = max(64, (settings.limits.max_fds - RESERVED_FILE_DESCRIPTORS) // 3)  # for each busy server
         self.transport = Transport(self.host, self.handlers, logs.get("transport"), self.connections)
         self.transport.bind(settings.ip, settings.internal_ports)
-        self.me = _descriptor(settings, self.transport.address)
+        self.own_descriptor = _descriptor(settings, self.transport.address)
         self.membership = Membership(
-            self.host, self.transport, random.Random(), self.me, list(settings.seeds), settings.internal_ports[0]
+            self.host,
+            self.transport,
+            random.Random(),
+            self.own_descriptor,
+            list(settings.seeds),
+            settings.internal_ports[0],
         )
         self.membership.register(self.handlers)
         self.detours = Detours(self.host, self.transport, self.membership, self.handlers, random.Random())
         self.detours.register()
-        self.handlers.on_call(StatusRequest, self._tell_status)
+        self.handlers.on_call(StatusRequest, self._answer_status)
         self._watch = SettingsWatch(path, settings, self.log)
         self._servers: list[HttpServer] = []
-        self._sections: dict[str, Status] = {
+        self._sections: dict[str, StatusProvider] = {
             "process": self._process_status,
-            "members": lambda: members_section(self.me, self.membership),
+            "members": lambda: members_section(self.own_descriptor, self.membership),
         }
         self._started_at = self.host.now()
 
     def serve(self, address: str, handler: HttpHandler, options: ServerOptions) -> HttpServer:
         """Answer callers from outside at `address` ("ip:port") once the process runs."""
         ip, _, port = address.rpartition(":")
-        exchange = HandlerExchange(self.host, handler, ANSWER_SECONDS, options.name)
+        exchange = HandlerExchange(self.host, handler, CALL_TIMEOUT_SECONDS, options.name)
         server = HttpServer(ip, int(port), exchange, options, logs.get("http"))
         server.bind()
         self._servers.append(server)
         return server
 
-    def add_status(self, section: str, status: Status) -> None:
+    def add_status(self, section: str, status: StatusProvider) -> None:
         """Show `status` to operators' tools under that name."""
         self._sections[section] = status
 
@@ -133,7 +138,7 @@
         while needed() or not all(server.finished() for server in self._servers):
             if self.host.now() >= deadline:
                 return False
-            time.sleep(RETIRED_LOOK_SECONDS)
+            time.sleep(RETIRE_POLL_SECONDS)
         return True
 
     def _reload(self) -> None:
@@ -150,7 +155,7 @@
             self.settings = changed
             self.host.run(lambda: self.membership.update_seeds(list(changed.seeds)), "new settings")
 
-    def _tell_status(self, request: StatusRequest, reply: Reply) -> None:
+    def _answer_status(self, request: StatusRequest, reply: Reply) -> None:
         """Answer an operator's tool."""
         sections = {name: status() for name, status in self._sections.items() if request.what in ("", name)}
         reply(StatusReply(msgspec.json.encode(sections)))
@@ -179,9 +184,9 @@
     SIGUSR2 writes the stacks of all threads to standard error, also of a process that does not go on.
     """
     faulthandler.register(signal.SIGUSR2, all_threads=True)
-    threading.stack_size(STACK_BYTES)
-    sys.setswitchinterval(SWITCH_SECONDS)
-    gc.set_threshold(YOUNG_OBJECTS, 20, 50)
+    threading.stack_size(THREAD_STACK_BYTES)
+    sys.setswitchinterval(THREAD_SWITCH_SECONDS)
+    gc.set_threshold(GC_YOUNG_THRESHOLD, 20, 50)
 
 
 def wait_for_settings(log: EventLog) -> tuple[str, Settings]:
--- a/pipitledge/programs/fronts.py
+++ b/pipitledge/programs/http_handlers.py
@@ -14,10 +14,10 @@
 
 MS_PER_SECOND = 1000
 READY = HttpResponse(HTTPStatus.OK, b'{"ready":true}')
-UNREADY = HttpResponse(HTTPStatus.SERVICE_UNAVAILABLE, b'{"ready":false}')
+NOT_READY = HttpResponse(HTTPStatus.SERVICE_UNAVAILABLE, b'{"ready":false}')
 
 
-def client_front(ingress: Ingress) -> HttpHandler:
+def client_handler(ingress: Ingress) -> HttpHandler:
     """Clients' calls, at the `frontend` address."""
 
     def handle(request: HttpRequest, respond: Respond) -> None:
@@ -30,7 +30,7 @@
     return handle
 
 
-def readiness_front(readiness: Readiness) -> HttpHandler:
+def readiness_handler(readiness: Readiness) -> HttpHandler:
     """The platform's question whether to send new connections, at the `readiness` address."""
 
     def handle(request: HttpRequest, respond: Respond) -> None:
@@ -39,12 +39,12 @@
         elif request.method not in ("GET", "HEAD"):
             respond(WRONG_METHOD)
         else:
-            respond(READY if readiness.ready() else UNREADY)
+            respond(READY if readiness.ready() else NOT_READY)
 
     return handle
 
 
-def operator_front(control: ControlFront) -> HttpHandler:
+def operator_handler(control: ControlFront) -> HttpHandler:
     """The operator's calls, at a node's `controlPlane` address."""
 
     def handle(request: HttpRequest, respond: Respond) -> None:
--- a/pipitledge/programs/node.py
+++ b/pipitledge/programs/node.py
@@ -16,7 +16,7 @@
 from pipitledge.membership.primary_caller import PrimaryCaller
 from pipitledge.programs.control import ControlState, build_control_state
 from pipitledge.programs.core import Core, prepare_process, wait_for_settings
-from pipitledge.programs.fronts import client_front, operator_front, readiness_front
+from pipitledge.programs.http_handlers import client_handler, operator_handler, readiness_handler
 from pipitledge.programs.node_status import data_plane_section
 from pipitledge.replication.initial_members import register_diskless_seed
 from pipitledge.runtime import logs
@@ -24,9 +24,9 @@
 
 EDGE, CONTROL_PLANE = "edge", "control_plane"  # in `serves`
 CLIENT_BODY_BYTES = 256 * 1024  # while no configuration says otherwise
-STAY_PART = 0.5  # of the time to end, for which new connections may still come
-LAST_SECONDS = 1.0  # of the time to end, kept for the disk
-LONGEST_ANSWER_SECONDS = LONGEST_PATIENCE_SECONDS + 0.2  # that a call may take until it is answered
+ACCEPTING_FRACTION = 0.5  # of the time to end, for which new connections may still come
+DISK_CLOSE_SECONDS = 1.0  # of the time to end, kept for the disk
+MAX_CALL_SECONDS = LONGEST_PATIENCE_SECONDS + 0.2  # that a call may take until it is answered
 
 
 class Node:
@@ -38,7 +38,7 @@
         settings = core.settings
         self._control: ControlState | None = build_control_state(core) if settings.counted else None
         if self._control is None:
-            register_diskless_seed(core.handlers, core.me.address, settings.bootstrap, core.membership)
+            register_diskless_seed(core.handlers, core.own_descriptor.address, settings.bootstrap, core.membership)
         self._caller = PrimaryCaller(
             core.host,
             core.transport,
@@ -70,17 +70,17 @@
         answered at once, so that none is under way at the end.
         """
         core = self._core
-        ends_at = terminated_at + core.settings.bounds.grace_s - LAST_SECONDS
+        ends_at = terminated_at + core.settings.bounds.grace_s - DISK_CLOSE_SECONDS
         core.drain()
         core.host.run(self._hand_over, "termination")
-        stays_until = terminated_at + core.settings.bounds.grace_s * STAY_PART
+        stays_until = terminated_at + core.settings.bounds.grace_s * ACCEPTING_FRACTION
         time.sleep(max(0.0, stays_until - core.host.now()))
         core.retire()
-        if not core.wait_until_retired(ends_at - LONGEST_ANSWER_SECONDS, self._relied_on):
+        if not core.wait_until_retired(ends_at - MAX_CALL_SECONDS, self._needed_by_backups):
             core.refuse()
-            core.wait_until_retired(ends_at, self._relied_on)
+            core.wait_until_retired(ends_at, self._needed_by_backups)
         if self._control is not None:
-            self._control.close_disk(LAST_SECONDS / 2)
+            self._control.close_disk(DISK_CLOSE_SECONDS / 2)
 
     def _hand_over(self) -> None:
         """Be unready, and let a backup lead."""
@@ -89,7 +89,7 @@
         if self._control is not None:
             self._control.replica.step_down()
 
-    def _relied_on(self) -> bool:
+    def _needed_by_backups(self) -> bool:
         """Whether a backup still has to take over what this node alone may hold."""
         control = self._control
         if control is None:
@@ -114,10 +114,10 @@
         options = ServerOptions(
             "frontend", threads=4, most_threads=64, body_limit=CLIENT_BODY_BYTES, connections=core.connections
         )
-        frontend = core.serve(bind.frontend, client_front(self._ingress), options)
+        frontend = core.serve(bind.frontend, client_handler(self._ingress), options)
         self._data_plane.on_change(lambda configuration: _apply_limits(frontend, configuration))
         options = ServerOptions("readiness", threads=1, most_threads=2, connections=64)
-        core.serve(bind.readiness, readiness_front(readiness), options)
+        core.serve(bind.readiness, readiness_handler(readiness), options)
 
     def _serve_operator(self) -> None:
         """Take the operator's calls."""
@@ -127,7 +127,7 @@
         )
         front = ControlFront(core.host, self._caller, logs.get("control"), large_answers)
         options = ServerOptions("control", threads=1, most_threads=24, body_limit=MAX_BODY_BYTES, connections=256)
-        core.serve(settings.bind.control_plane, operator_front(front), options)
+        core.serve(settings.bind.control_plane, operator_handler(front), options)
 
 
 def main() -> None:
--- a/pipitledge/programs/node_status.py
+++ b/pipitledge/programs/node_status.py
@@ -12,7 +12,7 @@
 from pipitledge.configuration.model import Configuration, Route
 from pipitledge.ingress.readiness import Readiness
 from pipitledge.membership.membership import Membership
-from pipitledge.programs.status import LONGEST_LIST, NO_VIEW, Section, bounded
+from pipitledge.programs.status import MAX_LIST_ENTRIES, NO_VIEW, Section, limited_list
 from pipitledge.scheduling.context import Context
 from pipitledge.scheduling.tasks import Job
 from pipitledge.scheduling.workers import Worker
@@ -36,7 +36,7 @@
 def queues_section(context: Context, membership: Membership) -> Section:
     """Each queue with its jobs and tasks."""
     if not context.active:
-        return _not_leading(membership)
+        return _not_primary(membership)
     jobs: dict[str, list[Job]] = {}
     for job in context.jobs.values():
         jobs.setdefault(job.route, []).append(job)
@@ -44,28 +44,28 @@
     routes = {route.name: route for route in configuration.routes} if configuration else {}
     names = sorted({*routes, *jobs})
     rows = [_queue_row(context, name, routes.get(name), jobs.get(name, [])) for name in names]
-    return {"leads": True, **bounded("queues", rows)}
+    return {"leads": True, **limited_list("queues", rows)}
 
 
 def workers_section(context: Context, membership: Membership) -> Section:
     """Each worker with the room that it has left, and how many are in each state."""
     if not context.active:
-        return _not_leading(membership)
+        return _not_primary(membership)
     workers = sorted(context.workers.values(), key=lambda worker: (worker.service, worker.node))
     rows = [_worker_row(context, worker) for worker in workers]
     states = dict(Counter(str(row["state"]) for row in rows))
-    return {"leads": True, "states": states, **bounded("workers", rows)}
+    return {"leads": True, "states": states, **limited_list("workers", rows)}
 
 
 def jobs_section(context: Context, membership: Membership) -> Section:
     """How many jobs there are in each state, and the open ones, the oldest first."""
     if not context.active:
-        return _not_leading(membership)
+        return _not_primary(membership)
     counts = Counter(state.name.lower() for state in context.ended_jobs.values())
     still_open = sorted((job for job in context.jobs.values() if job.open), key=lambda job: job.order)
     ended_jobs: Section = {state: counts[state] for state in ("completed", "failed", "cancelled")}
     now = context.clock.now()
-    rows = [_job_row(job, now) for job in still_open[:LONGEST_LIST]]
+    rows = [_job_row(job, now) for job in still_open[:MAX_LIST_ENTRIES]]
     return {"leads": True, "open": len(still_open), **ended_jobs, "jobs": rows}
 
 
@@ -78,12 +78,12 @@
     ]
     return {
         "version": configuration.version,
-        **bounded("routes", routes),
+        **limited_list("routes", routes),
         "services": [service.name for service in configuration.services],
     }
 
 
-def _not_leading(membership: Membership) -> Section:
+def _not_primary(membership: Membership) -> Section:
     """Only the primary knows; whom to ask instead."""
     view = membership.view or NO_VIEW
     addresses = {member.name: member.address for member in view.members}
--- a/pipitledge/programs/status.py
+++ b/pipitledge/programs/status.py
@@ -7,21 +7,21 @@
 from pipitledge.membership.membership import Membership
 from pipitledge.wire.messages import Member, NodeDescriptor, View
 
-LONGEST_LIST = 200  # entries of a section; the rest is counted
+MAX_LIST_ENTRIES = 200  # entries of a section; the rest is counted
 NO_VIEW = View()
 
 Section = dict[str, object]
 
 
-def members_section(me: NodeDescriptor, membership: Membership) -> Section:
+def members_section(own_descriptor: NodeDescriptor, membership: Membership) -> Section:
     """All processes that are alive as far as this one knows, and the voting members that are not."""
     view = membership.view or NO_VIEW
-    alive = [me, *membership.nodes()]
+    alive = [own_descriptor, *membership.nodes()]
     names = {node.name for node in alive}
     rows = [_alive_row(node, view) for node in alive]
-    rows += [_silent_row(member, view) for member in view.members if member.name not in names]
+    rows += [_unreachable_row(member, view) for member in view.members if member.name not in names]
     rows.sort(key=lambda row: str(row["name"]))
-    return {"epoch": view.epoch, "primary": view.primary, **bounded("nodes", rows)}
+    return {"epoch": view.epoch, "primary": view.primary, **limited_list("nodes", rows)}
 
 
 def _alive_row(node: NodeDescriptor, view: View) -> Section:
@@ -32,11 +32,11 @@
         "class": node.machine_class,
         "alive": True,
         "counted": node.counted,
-        "part": _part(node.name, view),
+        "part": _view_role(node.name, view),
     }
 
 
-def _silent_row(member: Member, view: View) -> Section:
+def _unreachable_row(member: Member, view: View) -> Section:
     return {
         "name": member.name,
         "address": member.address,
@@ -44,11 +44,11 @@
         "class": "",
         "alive": False,
         "counted": True,
-        "part": _part(member.name, view),
+        "part": _view_role(member.name, view),
     }
 
 
-def _part(name: str, view: View) -> str:
+def _view_role(name: str, view: View) -> str:
     """What the view makes of a node."""
     if name == view.primary:
         return "primary"
@@ -57,10 +57,10 @@
     return "behind" if any(member.name == name for member in view.members) else ""
 
 
-def bounded(name: str, rows: Iterable[Section]) -> Section:
+def limited_list(name: str, rows: Iterable[Section]) -> Section:
     """The rows, and how many were left out, if any."""
     listed = list(rows)
-    section: Section = {name: listed[:LONGEST_LIST]}
-    if len(listed) > LONGEST_LIST:
-        section[name + "LeftOut"] = len(listed) - LONGEST_LIST
+    section: Section = {name: listed[:MAX_LIST_ENTRIES]}
+    if len(listed) > MAX_LIST_ENTRIES:
+        section[name + "LeftOut"] = len(listed) - MAX_LIST_ENTRIES
     return section
--- a/pipitledge/programs/worker_front.py
+++ b/pipitledge/programs/worker_http_handler.py
@@ -8,7 +8,7 @@
 from pipitledge.wire.paths import INSTANCES_PREFIX
 
 
-def worker_front(agent: Agent) -> HttpHandler:
+def worker_handler(agent: Agent) -> HttpHandler:
     """The worker's heartbeats, at an agent's `controlPlane` address."""
 
     def handle(request: HttpRequest, respond: Respond) -> None:
--- a/pipitledge/wire/codec.py
+++ b/pipitledge/wire/codec.py
@@ -46,7 +46,7 @@
 _ENVELOPE_TABLE = 12
 _ENVELOPE_REFERENCE = 4  # in the table
 _ENVELOPE_NUMBER = 8  # in the table
-_ENVELOPE_HEADS = {
+_ENVELOPE_HEADERS = {
     message_type: _ENVELOPE.pack(
         _ENVELOPE_TABLE,
         _ENVELOPE_TABLE - _ENVELOPE_VTABLE,
@@ -59,12 +59,12 @@
     )
     for message_type, number in _MESSAGE_NUMBERS.items()
 }
-_RECORD_HEAD = bytes(4)
+_RECORD_HEADER = bytes(4)
 
 
 def encode(message: Struct) -> bytes:
     """A message in its envelope; its type has to be one of the schema's union `Message`."""
-    head = _ENVELOPE_HEADS.get(type(message))
+    head = _ENVELOPE_HEADERS.get(type(message))
     if head is None:
         raise WireError(f"{type(message).__name__} is not sent by itself")
     return _write(message, head, _ENVELOPE_TABLE + _ENVELOPE_REFERENCE)
@@ -83,7 +83,7 @@
 
 def encode_record(record: Struct) -> bytes:
     """A record by itself, of a type that the reader knows."""
-    return _write(record, _RECORD_HEAD, 0)
+    return _write(record, _RECORD_HEADER, 0)
 
 
 def decode_record(data: bytes, record_type: type[Record]) -> Record:
--- a/pipitledge/wire/reader.py
+++ b/pipitledge/wire/reader.py
@@ -17,10 +17,10 @@
 from pipitledge.wire.plan import FieldKind, FieldPlan, WireError, fields_of
 
 _UINT = struct.Struct("<I")
-_TABLE_HEAD = struct.Struct("<i")
-_VTABLE_HEAD = struct.Struct("<HH")
+_TABLE_HEADER = struct.Struct("<i")
+_VTABLE_HEADER = struct.Struct("<HH")
 _REFERENCE_SIZE = 4
-_LAYOUTS_KEPT = 256  # of each type; more than a sound peer makes use of
+_MAX_CACHED_LAYOUTS = 256  # of each type; more than a sound peer makes use of
 
 _Convert = Callable[["Reader", int], Any]
 
@@ -51,7 +51,7 @@
         found = self._layouts.get(vtable)
         if found is None:
             found = self._make_layout(vtable, table_size)
-            if len(self._layouts) < _LAYOUTS_KEPT:
+            if len(self._layouts) < _MAX_CACHED_LAYOUTS:
                 self._layouts[vtable] = found
         return found
 
@@ -101,7 +101,7 @@
         """A reader of that buffer."""
         self._data = data
         self._size = len(data)
-        self._unused = len(data)  # bytes that may still be used
+        self._unread_bytes = len(data)  # bytes that may still be used
         self._strings: dict[int, str] = {}
 
     def root(self) -> int:
@@ -114,7 +114,7 @@
     def table(self, position: int, plan: TablePlan) -> Struct:
         """The table at that position."""
         layout = self._layout(position, plan)
-        self._use(layout.size)
+        self._consume(layout.size)
         values = layout.unpack_from(self._data, position)
         arguments = plan.defaults.copy()
         for (argument, offset, convert), value in zip(layout.fields, values, strict=True):
@@ -152,11 +152,11 @@
         data = self._data
         if position + _REFERENCE_SIZE > self._size:
             raise WireError(f"{plan.name}: lies outside of the buffer")
-        vtable = position - _TABLE_HEAD.unpack_from(data, position)[0]
-        if not 0 <= vtable <= self._size - _VTABLE_HEAD.size:
+        vtable = position - _TABLE_HEADER.unpack_from(data, position)[0]
+        if not 0 <= vtable <= self._size - _VTABLE_HEADER.size:
             raise WireError(f"{plan.name}: its vtable lies outside of the buffer")
-        vtable_size, table_size = _VTABLE_HEAD.unpack_from(data, vtable)
-        if vtable_size < _VTABLE_HEAD.size or vtable_size % 2 or vtable + vtable_size > self._size:
+        vtable_size, table_size = _VTABLE_HEADER.unpack_from(data, vtable)
+        if vtable_size < _VTABLE_HEADER.size or vtable_size % 2 or vtable + vtable_size > self._size:
             raise WireError(f"{plan.name}: its vtable has an impossible size")
         if table_size < _REFERENCE_SIZE or position + table_size > self._size:
             raise WireError(f"{plan.name}: it has an impossible size")
@@ -177,12 +177,12 @@
         end = first + _UINT.unpack_from(self._data, position)[0] * element_size
         if end > self._size:
             raise WireError(f"vector at {position}: is longer than the buffer")
-        self._use(end - position)
+        self._consume(end - position)
         return first, end
 
-    def _use(self, size: int) -> None:
-        self._unused -= size
-        if self._unused < 0:
+    def _consume(self, size: int) -> None:
+        self._unread_bytes -= size
+        if self._unread_bytes < 0:
             raise WireError("tables or vectors overlap")
 
 
--- a/pipitledge/wire/writer.py
+++ b/pipitledge/wire/writer.py
@@ -21,7 +21,7 @@
 _UINT = struct.Struct("<I")
 _PADDING = tuple(bytes(count) for count in range(8))
 _REFERENCE_SIZE = 4
-_VTABLE_HEAD_SIZE = 4
+_VTABLE_HEADER_SIZE = 4
 # Tables begin 4 bytes before a multiple of this, so that the numbers, which come first in them, are aligned.
 _NUMBER_SIZE = 8
 
@@ -62,7 +62,7 @@
             offsets[field.name] = size
             size += field.size
         slots = [offsets.get(field.name, 0) for field in self.fields]
-        vtable = struct.pack(f"<{len(slots) + 2}H", _VTABLE_HEAD_SIZE + 2 * len(slots), size, *slots)
+        vtable = struct.pack(f"<{len(slots) + 2}H", _VTABLE_HEADER_SIZE + 2 * len(slots), size, *slots)
         numbers = "".join(field.code for field in self.numbers)
         flags = "".join(field.code for field in self.flags)
         packer = struct.Struct(f"<i{numbers}{_REFERENCE_SIZE * len(references)}x{flags}")
--- a/tests/system/test_orderly_end.py
+++ b/tests/system/test_orderly_end.py
@@ -24,10 +24,10 @@
 GRACE_S = 3.0
 LOSS_SLACK_S = 0.2
 CALLERS = 8
-PATIENCE_SECONDS = 60.0  # a bound for broken code, never waited for
+TIMEOUT_SECONDS = 60.0  # a bound for broken code, never waited for
 
 
-class EndOfANodeTest(unittest.TestCase):
+class NodeShutdownTest(unittest.TestCase):
     """A node that finds no primary: a call about the configuration is under way for 0.85 s."""
 
     def setUp(self) -> None:
@@ -44,16 +44,16 @@
             self.machine,
             Path(folder.name),
             lambda bootstrap: settings_text(plan, self.machine, Path(folder.name), seeds, bootstrap),
-            self.note_end,
+            self.record_end,
         )
         self.calls: list[CallEnd] = []
         self.answered = threading.Event()
 
-    def note_end(self, end: ProcessEnd) -> None:
+    def record_end(self, end: ProcessEnd) -> None:
         self.ends.append(end)
         self.ended.set()
 
-    def call_until_it_is_gone(self) -> None:
+    def call_until_node_exits(self) -> None:
         """Call on an open connection, and make another one when the node ends it, as long as it takes any."""
         while not self.ended.is_set():
             try:
@@ -73,18 +73,18 @@
                     break
             connection.close()
 
-    def test_no_call_is_cut_and_the_process_ends_in_time(self) -> None:
+    def test_all_calls_are_answered_and_the_process_exits_in_time(self) -> None:
         self.process.start(bootstrap=False)
         self.addCleanup(self.process.close)
-        callers = [threading.Thread(target=self.call_until_it_is_gone) for _ in range(CALLERS)]
+        callers = [threading.Thread(target=self.call_until_node_exits) for _ in range(CALLERS)]
         for caller in callers:
             caller.start()
-        self.assertTrue(self.answered.wait(PATIENCE_SECONDS))
+        self.assertTrue(self.answered.wait(TIMEOUT_SECONDS))
         self.process.terminate(GRACE_S)
-        self.assertTrue(self.ended.wait(PATIENCE_SECONDS))
+        self.assertTrue(self.ended.wait(TIMEOUT_SECONDS))
         self.process.close()
         for caller in callers:
-            caller.join(PATIENCE_SECONDS)
+            caller.join(TIMEOUT_SECONDS)
         lost = [end for end in self.calls if end.outcome is not Outcome.ANSWERED and end.seconds > LOSS_SLACK_S]
         self.assertEqual(lost, [])
         self.assertEqual([(end.exit_code, end.killed) for end in self.ends], [(0, False)])
--- a/tests/system/test_system_cli.py
+++ b/tests/system/test_system_cli.py
@@ -668,9 +668,9 @@
         self.assertEqual((section["open"], section["cancelled"], section["jobs"]), (0, 1, []))
 
     def test_long_lists_are_cut_and_what_is_left_out_is_counted(self) -> None:
-        nodes = [NodeDescriptor(f"n{number:03}") for number in range(sections.LONGEST_LIST + 4)]
+        nodes = [NodeDescriptor(f"n{number:03}") for number in range(sections.MAX_LIST_ENTRIES + 4)]
         section = sections.members_section(NodeDescriptor("me"), membership(None, *nodes))
-        self.assertEqual((len(rows_of(section, "nodes")), section["nodesLeftOut"]), (sections.LONGEST_LIST, 5))
+        self.assertEqual((len(rows_of(section, "nodes")), section["nodesLeftOut"]), (sections.MAX_LIST_ENTRIES, 5))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_whole_system.py
+++ b/tests/system/test_whole_system.py
@@ -14,12 +14,12 @@
 
 
 @functools.cache
-def verdict(seed: int) -> Verdict:
+def simulate_day(seed: int) -> Verdict:
     """The verdict on a day of the system as it is."""
     return play(seed)
 
 
-def verdict_without(mutant: Mutant, seed: int) -> Verdict:
+def simulate_day_with_mutant(mutant: Mutant, seed: int) -> Verdict:
     """The verdict on a day without that guard."""
     with contextlib.ExitStack() as stack:
         for patch in mutant.patches():
@@ -27,29 +27,31 @@
         return play(seed)
 
 
-class WholeSystem(unittest.TestCase):
-    def test_no_rule_is_broken(self) -> None:
+class WholeSystemSimulation(unittest.TestCase):
+    def test_no_invariant_is_violated(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                day = verdict(seed)
+                day = simulate_day(seed)
                 self.assertEqual((), day.breaches, f"\n{day}")
                 self.assertGreater(day.starts, day.jobs // 2, "hardly anything ran")
 
-    def test_a_seed_has_one_verdict(self) -> None:
-        self.assertEqual(verdict(1), play(1))
+    def test_simulation_is_deterministic_for_a_seed(self) -> None:
+        self.assertEqual(simulate_day(1), play(1))
 
 
-class MissingGuards(unittest.TestCase):
-    def test_each_shows(self) -> None:
+class MutantDetection(unittest.TestCase):
+    def test_each_mutant_is_detected(self) -> None:
         for mutant in MUTANTS:
             with self.subTest(mutant=mutant.name):
                 self.assertIsNotNone(self.first_breach(mutant), f"{mutant.name}: no day of {SEEDS} shows it")
 
     def first_breach(self, mutant: Mutant) -> Breach | None:
         for seed in SEEDS:
-            shown = [breach for breach in verdict_without(mutant, seed).breaches if mutant.is_detected_by(breach)]
-            if shown and not verdict(seed).breaches:
-                return shown[0]
+            detected = [
+                breach for breach in simulate_day_with_mutant(mutant, seed).breaches if mutant.is_detected_by(breach)
+            ]
+            if detected and not simulate_day(seed).breaches:
+                return detected[0]
         return None
 
 
--- a/tests/system/test_wire.py
+++ b/tests/system/test_wire.py
@@ -22,13 +22,13 @@
 from pipitledge.wire.plan import UNSIGNED_FIELDS, FieldKind, FieldPlan, fields_of
 
 SEED = 20
-DRAWS_PER_TYPE = 30
-FUZZED_PER_MESSAGE = 300
+SAMPLES_PER_TYPE = 30
+MUTATIONS_PER_MESSAGE = 300
 SCHEMA = Path(messages.__file__).with_name("schema.fbs").read_text()
 STRUCTS: list[type[Struct]] = [
     value for _, value in inspect.getmembers(messages, inspect.isclass) if issubclass(value, Struct) and value != Struct
 ]
-SENT = [value for value in STRUCTS if hasattr(Message, value.__name__)]
+UNION_TYPES = [value for value in STRUCTS if hasattr(Message, value.__name__)]
 TEXTS = ["", "a", "x-4711.0.1.2", "Århus", "日本", "🖨" * 40]
 
 
@@ -41,7 +41,7 @@
     return getattr(module, message_type.__name__)
 
 
-class Drawer:
+class RandomMessageGenerator:
     """Draws values of every type that a field may have."""
 
     def __init__(self, seed: int) -> None:
@@ -73,8 +73,8 @@
         return self.random.choice([0, 1, lowest, highest, self.random.randint(lowest, highest)])
 
 
-def draws(types: list[type[Struct]], count: int = DRAWS_PER_TYPE) -> list[Any]:
-    drawer = Drawer(SEED)
+def random_messages(types: list[type[Struct]], count: int = SAMPLES_PER_TYPE) -> list[Any]:
+    drawer = RandomMessageGenerator(SEED)
     return [drawer.message(message_type) for message_type in types for _ in range(count)]
 
 
@@ -91,7 +91,7 @@
             annotation = typing.get_args(annotation)[0]
         return str(annotation.__name__)
 
-    def test_the_schema_has_each_struct_field_for_field(self) -> None:
+    def test_each_schema_table_matches_its_struct(self) -> None:
         tables = dict(re.findall(r"^table (\w+) \{\n(.*?)^\}", SCHEMA, re.MULTILINE | re.DOTALL))
         del tables["Envelope"]
         self.assertEqual(sorted(tables), sorted(value.__name__ for value in STRUCTS))
@@ -101,19 +101,19 @@
             ]
             self.assertEqual(re.findall(r"^  (\w+):(\S+?)[; ]", tables[value.__name__], re.MULTILINE), expected)
 
-    def test_the_generated_code_has_the_schemas_messages(self) -> None:
+    def test_generated_union_matches_the_schema(self) -> None:
         union = re.search(r"^union Message \{(.*?)\}", SCHEMA, re.MULTILINE | re.DOTALL)
         assert union is not None
         names = re.findall(r"\w+", union.group(1))
         self.assertEqual([getattr(Message, name) for name in names], list(range(1, len(names) + 1)))
-        self.assertEqual(sorted(names), sorted(value.__name__ for value in SENT))
+        self.assertEqual(sorted(names), sorted(value.__name__ for value in UNION_TYPES))
 
     def test_generated_code_reads_what_the_codec_wrote(self) -> None:
-        for value in draws(STRUCTS):
+        for value in random_messages(STRUCTS):
             table = generated(type(value)).GetRootAs(encode_record(value))
             self.assert_same(value, table)
 
-    def test_generated_code_knows_the_same_defaults(self) -> None:
+    def test_generated_code_has_the_same_defaults(self) -> None:
         for value in STRUCTS:
             builder = flatbuffers.Builder(0)
             builder.StartObject(0)
@@ -124,7 +124,7 @@
                     self.assertEqual(getattr(table, camel_case(field.name))(), field.default, (value, field.name))
 
     def test_numbers_lie_at_multiples_of_their_size(self) -> None:
-        for value in draws([messages.View, messages.AgentReport]):
+        for value in random_messages([messages.View, messages.AgentReport]):
             data = encode_record(value)
             (position,) = struct.unpack_from("<I", data)
             self.assertEqual(position % 8, 4, "the numbers follow the 4 bytes at the table's head")
@@ -157,22 +157,22 @@
 
 
 class RoundTrip(unittest.TestCase):
-    def test_every_message(self) -> None:
-        for value in draws(SENT):
+    def test_every_message_type(self) -> None:
+        for value in random_messages(UNION_TYPES):
             self.assertEqual(decode(encode(value)), value)
 
-    def test_every_record(self) -> None:
-        for value in draws(STRUCTS):
+    def test_every_struct_as_a_record(self) -> None:
+        for value in random_messages(STRUCTS):
             self.assertEqual(decode_record(encode_record(value), type(value)), value)
 
-    def test_types_survive_where_equality_does_not_tell(self) -> None:
+    def test_bool_and_int_keep_their_types(self) -> None:
         read = decode(encode(messages.HeartbeatReply(amnesiac=True, sequence=1)))
         assert isinstance(read, messages.HeartbeatReply)
         self.assertIs(read.amnesiac, True)
         self.assertIs(type(read.sequence), int)
 
-    def test_defaults_survive(self) -> None:
-        for value in SENT:
+    def test_defaults_survive_a_round_trip(self) -> None:
+        for value in UNION_TYPES:
             if not any(field.required for field in fields_of(value)):
                 self.assertEqual(decode(encode(value())), value())
         report = decode(encode(messages.AgentReport(worker=messages.WorkerInfo())))
@@ -186,7 +186,7 @@
         first.starts.append(messages.StartOrder())
         self.assertEqual(second.starts, [])
 
-    def test_tables_of_flatbuffers_own_builder_are_read(self) -> None:
+    def test_tables_written_by_the_flatbuffers_builder_are_read(self) -> None:
         """The builder leaves out defaults and writes back to front, so its layouts differ from the codec's."""
         member = importlib.import_module("pipitledge.wire.generated.Member")
         builder = flatbuffers.Builder(0)
@@ -198,7 +198,7 @@
         read = decode_record(bytes(builder.Output()), messages.Member)
         self.assertEqual(read, messages.Member(name="edge-1", disk_id=2**64 - 1))
 
-    def test_four_megabytes(self) -> None:
+    def test_message_of_four_megabytes(self) -> None:
         writes = [messages.Write(key=f"job/{index}", value=bytes([index % 256]) * 4096) for index in range(1024)]
         append = messages.Append(entries=[messages.Entry(term=1, sequence=2, writes=writes)])
         self.assertEqual(decode(encode(append)), append)
@@ -211,38 +211,38 @@
 
 
 class Malformed(unittest.TestCase):
-    def test_truncated(self) -> None:
-        for value in draws(SENT, count=3):
+    def test_truncated_messages(self) -> None:
+        for value in random_messages(UNION_TYPES, count=3):
             data = encode(value)
             for length in range(len(data)):
                 self.assert_read_safely(data[:length], value)
 
-    def test_short(self) -> None:
+    def test_buffers_too_short_or_without_a_table(self) -> None:
         for data in (b"", b"\0", b"\0\0\0\0", b"\xff" * 4, b"\xff" * 64):
             with self.assertRaises(WireError):
                 decode(data)
 
-    def test_fuzzed(self) -> None:
+    def test_messages_with_random_byte_changes(self) -> None:
         drawer = random.Random(SEED)
-        for value in draws(SENT, count=2):
+        for value in random_messages(UNION_TYPES, count=2):
             data = bytearray(encode(value))
-            for _ in range(FUZZED_PER_MESSAGE):
+            for _ in range(MUTATIONS_PER_MESSAGE):
                 fuzzed = data.copy()
                 for _ in range(drawer.randrange(1, 4)):
                     fuzzed[drawer.randrange(len(fuzzed))] = drawer.choice([0, 1, 4, 0x7F, 0x80, 0xFF])
                 self.assert_read_safely(bytes(fuzzed), value)
 
-    def test_unknown_type(self) -> None:
+    def test_unknown_message_type(self) -> None:
         data = bytearray(encode(messages.Prepare(epoch=1)))
         data[20] = 255
         with self.assertRaisesRegex(WireError, "unknown type 255"):
             decode(bytes(data))
 
-    def test_records_are_not_sent_by_themselves(self) -> None:
+    def test_records_cannot_be_encoded_as_messages(self) -> None:
         with self.assertRaisesRegex(WireError, "TaskRecord"):
             encode(messages.TaskRecord())
 
-    def test_missing_table(self) -> None:
+    def test_missing_required_table(self) -> None:
         with self.assertRaisesRegex(WireError, "view: missing"):
             decode_record(encode_record(messages.EpochQuery()), messages.Propose)
 
@@ -250,7 +250,7 @@
         with self.assertRaisesRegex(WireError, "vtable lies outside"):
             decode_record(struct.pack("<Ii", 4, 1000), messages.View)
 
-    def test_text_that_is_none(self) -> None:
+    def test_invalid_utf8(self) -> None:
         data = encode(messages.Prepare(proposer="edge-1")).replace(b"edge-1", b"edge-\xff")
         with self.assertRaisesRegex(WireError, "string"):
             decode(data)
@@ -266,7 +266,7 @@
         with self.assertRaisesRegex(WireError, "longer than the buffer"):
             decode_record(bytes(data), messages.ClientReply)
 
-    def test_bytes_used_many_times_over(self) -> None:
+    def test_overlapping_tables(self) -> None:
         """A small buffer must not unfold into a large message: here all writes are one and the same table."""
         count = 1000
         writes = [messages.Write(value=b"x" * 10_000)] + [messages.Write()] * (count - 1)
