--- a/pipitledge/programs/__init__.py
+++ b/pipitledge/programs/__init__.py
@@ -1,7 +1,7 @@
-"""Thin binaries that assemble the planes."""
+"""Entry points of the node and the agent: they read the settings, build the components and run them."""
 
 import signal
 
-# A SIGHUP says that the settings file has changed. While a program starts, it must not end by that; the file is looked
-# at again soon after the start.
+# SIGHUP asks a running process to reload its settings file. The default action would terminate a process that is still
+# starting, so the signal is ignored until the handler is installed; the file is checked for changes soon after that.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/pipitledge/programs/agent.py
+++ b/pipitledge/programs/agent.py
@@ -1,4 +1,4 @@
-"""`pipitledge-agent`: the process beside one worker."""
+"""`pipitledge-agent`: the process that runs beside one worker and connects it to the primary."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from pipitledge.runtime.worker_calls import HttpWorkerCalls
 
 CONTROL_BODY_BYTES = 4 * 1024 * 1024
-HEARTBEAT_DRAIN_SECONDS = 1.0  # for heartbeats that are being answered when the process is to end
+HEARTBEAT_DRAIN_SECONDS = 1.0  # on shutdown, longest wait until worker heartbeats in progress are answered
 
 
 def main() -> None:
@@ -32,7 +32,7 @@
 
 
 def build_agent(core: Core) -> Agent:
-    """Assemble the agent's planes."""
+    """Create the agent, register its message handlers, and serve the worker's heartbeats if an address is set."""
     settings = core.settings
     caller = PrimaryCaller(
         core.host, core.transport, core.membership, random.Random(), my_name=settings.name, detours=core.detours
--- a/pipitledge/programs/control.py
+++ b/pipitledge/programs/control.py
@@ -1,4 +1,4 @@
-"""What a counted node holds: its disk, its replica, and the services that run where the replica leads."""
+"""Replicated state of a voting node: its disk, its replica, and the services that are active on the primary."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 from pipitledge.scheduling.scheduler import Scheduler
 from pipitledge.wire.messages import View
 
-DISK_OPEN_TIMEOUT_SECONDS = 30.0  # for a disk that refuses to be read at the start
-AGENT_MACHINE_CLASS = "side"  # of machines that workers stand on
+DISK_OPEN_TIMEOUT_SECONDS = 30.0  # how long reads are retried at startup before the process exits
+AGENT_MACHINE_CLASS = "side"  # machine class of the agents' processes, which run beside workers
 MS_PER_SECOND = 1000.0
-DISK_FAILED = 3  # exit status
+DISK_FAILED = 3  # exit status when the disk can't be opened
 
 
 class OpenDisk:
-    """A disk, and what was found on it."""
+    """The disk of a voting node, with the state recovered from it."""
 
     def __init__(self, core: Core, log: EventLog) -> None:
-        """Open the folder of the settings; a node without one keeps its state in memory."""
+        """Open the data folder named in the settings; without one, state is kept in memory only."""
         folder = core.settings.data_dir
         self.recovered = Recovered(fresh=True)
-        self.lost = False  # what was kept can't be read
+        self.lost = False  # the stored state was corrupt and has been discarded
         self._writer: DiskWriter | None = None
         if not folder:
             log.warning("no_disk", node=core.settings.name)
@@ -49,17 +49,17 @@
         self.port = self._writer
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the thread that writes to the disk."""
         if self._writer is not None:
             self._writer.start()
 
     def close(self, timeout: float) -> None:
-        """Write what is queued; give up after `timeout` seconds."""
+        """Write the queued data; stop waiting after `timeout` seconds."""
         if self._writer is not None:
             self._writer.close(timeout)
 
     def _recover(self, store: Store, log: EventLog) -> None:
-        """Read what was kept; what can't be read is treated like a lost disk."""
+        """Read the stored state; a corrupt store is formatted and counts as lost, an unusable disk ends the process."""
         recovered = open_store(store, DISK_OPEN_TIMEOUT_SECONDS)
         if isinstance(recovered, Recovered) and recovered.corrupt:
             log.error("disk_corrupt", step="open", reason=recovered.corrupt)
@@ -73,20 +73,20 @@
 
 
 class ControlState:
-    """The replica with its services."""
+    """The replica of a voting node and the disk that it writes to."""
 
     def __init__(self, replica: Replica, disk: OpenDisk) -> None:
-        """Hold the parts together."""
+        """Keep the replica, and the disk to close on shutdown."""
         self.replica = replica
         self._disk = disk
 
     def close_disk(self, timeout: float) -> None:
-        """Write what is queued; give up after `timeout` seconds."""
+        """Write the queued data; stop waiting after `timeout` seconds."""
         self._disk.close(timeout)
 
 
 def build_control_state(core: Core) -> ControlState:
-    """Assemble a counted node's replica, configuration keeper and scheduler."""
+    """Create the replica, configuration keeper and scheduler of a voting node, and start its disk."""
     settings = core.settings
     disk = OpenDisk(core, logs.get("disk"))
     services: list[PrimaryService] = []
@@ -112,11 +112,12 @@
         ports, timings, NodeIdentity(settings.name, core.transport.address), lambda: _agent_addresses(core)
     )
     keeper.publish_usage(scheduler.usage)
-    services += [keeper, scheduler]  # the scheduler reads the configuration that the keeper has taken over
-    for plane in (replica, keeper, scheduler):
-        plane.register(core.handlers)
+    services += [keeper, scheduler]  # in this order: the scheduler reads the configuration that the keeper has loaded
+    for component in (replica, keeper, scheduler):
+        component.register(core.handlers)
     core.add_status("replica", replica.status)
-    core.add_status("configuration", lambda: keeper_section(keeper))  # a data plane has more to tell, if there is one
+    # On nodes with a data plane, its section replaces this one.
+    core.add_status("configuration", lambda: keeper_section(keeper))
     core.add_status("queues", lambda: queues_section(scheduler.context, core.membership))
     core.add_status("workers", lambda: workers_section(scheduler.context, core.membership))
     core.add_status("jobs", lambda: jobs_section(scheduler.context, core.membership))
@@ -126,10 +127,10 @@
 
 
 def _track_bootstrap_state(core: Core, replica: Replica) -> None:
-    """Let this node's descriptor say whether it still waits for the founding."""
+    """Keep the `bootstrap` flag of this node's descriptor up to date: true until the cluster has been bootstrapped."""
 
     def describe(_view: View | None = None) -> None:
-        _ = replica.view  # takes over a view that membership has heard of
+        _ = replica.view  # reading it adopts a newer view that membership has received
         core.own_descriptor.bootstrap = replica.awaits_founding
 
     core.membership.on_view(describe)
@@ -137,10 +138,10 @@
 
 
 def _agent_addresses(core: Core) -> list[str]:
-    """Addresses of the agents that are known."""
+    """Return the addresses of the agents in this node's membership view."""
     return [node.address for node in core.membership.nodes() if node.machine_class == AGENT_MACHINE_CLASS]
 
 
 def _log_disk_refusal(log: EventLog, problem: DiskProblem) -> None:
-    """Tell of a disk that refuses for long; the replica steps aside by itself."""
+    """Log that the disk has been rejecting writes for long; the replica steps down without this call."""
     log.error("disk_refuses_for_long", step=problem.step, reason=problem.reason)
--- a/pipitledge/programs/core.py
+++ b/pipitledge/programs/core.py
@@ -1,4 +1,4 @@
-"""What every process of the system has: settings, the lock, the transport, membership, servers, and an orderly end."""
+"""Parts that every process has: settings, lock, transport, membership, HTTP servers and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -31,30 +31,32 @@
 from pipitledge.runtime.transport import Transport
 from pipitledge.wire.messages import NodeDescriptor, StatusReply, StatusRequest
 
-CALL_TIMEOUT_SECONDS = 10.0  # longest wait for an answer to a caller from outside
-SETTINGS_RETRY_SECONDS = 0.5  # between looks at a settings file that is broken at the start
-THREAD_STACK_BYTES = 512 * 1024  # of each thread
-THREAD_SWITCH_SECONDS = 0.002  # after which a thread that computes lets another one go on
-GC_YOUNG_THRESHOLD = 20_000  # made between two looks for garbage
+CALL_TIMEOUT_SECONDS = 10.0  # after which an external HTTP call without an answer fails
+SETTINGS_RETRY_SECONDS = 0.5  # between attempts to read an invalid settings file at startup
+THREAD_STACK_BYTES = 512 * 1024  # stack size of each thread
+THREAD_SWITCH_SECONDS = 0.002  # after which a busy thread releases the interpreter lock to another thread
+GC_YOUNG_THRESHOLD = 20_000  # net allocations that trigger a garbage collection of the youngest generation
 INCARNATION_BITS = 48
-RESERVED_FILE_DESCRIPTORS = 300  # for files, datagrams and outgoing calls
-RETIRE_POLL_SECONDS = 0.02  # while the process ends, between looks whether the last call was answered
+RESERVED_FILE_DESCRIPTORS = 300  # not available to HTTP servers: kept for files, datagrams and outgoing calls
+RETIRE_POLL_SECONDS = 0.02  # during shutdown, between checks whether the last call has been answered
 
 StatusProvider = Callable[[], dict[str, object]]
 
 
 class Core:
-    """The parts that node and agent share. Planes are added by the programs."""
+    """The components that node and agent share; each program adds its own components to them."""
 
     def __init__(self, path: str, settings: Settings) -> None:
-        """Bind the internal port; nothing runs before `run`."""
+        """Create the components and bind the internal port; no thread is started before `run`."""
         self._signals = SignalLoop(self._reload, self._poll_settings)
         self._signals.install()
         self.settings = settings
         self.log = logs.get(settings.role)
         self.host = Host(logs.get("host"))
         self.handlers = Handlers()
-        self.connections = max(64, (settings.limits.max_fds - RESERVED_FILE_DESCRIPTORS) // 3)  # for each busy server
+        self.connections = max(
+            64, (settings.limits.max_fds - RESERVED_FILE_DESCRIPTORS) // 3
+        )  # limit for each server with much traffic
         self.transport = Transport(self.host, self.handlers, logs.get("transport"), self.connections)
         self.transport.bind(settings.ip, settings.internal_ports)
         self.own_descriptor = _descriptor(settings, self.transport.address)
@@ -79,7 +81,7 @@
         self._started_at = self.host.now()
 
     def serve(self, address: str, handler: HttpHandler, options: ServerOptions) -> HttpServer:
-        """Answer callers from outside at `address` ("ip:port") once the process runs."""
+        """Bind an HTTP server for external callers to `address` ("ip:port"); it starts to answer in `run`."""
         ip, _, port = address.rpartition(":")
         exchange = HandlerExchange(self.host, handler, CALL_TIMEOUT_SECONDS, options.name)
         server = HttpServer(ip, int(port), exchange, options, logs.get("http"))
@@ -88,14 +90,14 @@
         return server
 
     def add_status(self, section: str, status: StatusProvider) -> None:
-        """Show `status` to operators' tools under that name."""
+        """Register the function that returns a section of the status; it is called under the lock for each request."""
         self._sections[section] = status
 
     def run(self, start: Callable[[], None], end: Callable[[float], None]) -> None:
-        """Run until SIGTERM, then end the process.
+        """Run until SIGTERM, then shut down and exit the process.
 
-        `start` is called under the lock. `end` is called on the main thread with the steady time of the order to end,
-        from which the time to end counts: the order may have come while the process was still starting.
+        `start` is called under the lock. `end` is called on the main thread with the monotonic time at which SIGTERM
+        arrived. The grace period counts from that time, as the signal may arrive while the process is still starting.
         """
         self.host.start()
         self.transport.start()
@@ -112,29 +114,29 @@
         took_s = self.host.now() - terminated_at
         self.log.info("ended", node=self.settings.name, busy=self.busy(), took_s=took_s)
         logs.flush()
-        os._exit(0)  # other threads hold nothing that must be saved
+        os._exit(0)  # without joining the other threads: none of them holds state that must be saved
 
     def drain(self) -> None:
-        """Ask callers to leave: each connection is closed after its next answer."""
+        """Close each connection after its next answer, so that callers move to other nodes."""
         for server in self._servers:
             server.drain()
 
     def busy(self) -> int:
-        """Calls from outside that are being answered."""
+        """Return the number of external calls in progress."""
         return sum(server.busy() for server in self._servers)
 
     def retire(self) -> None:
-        """Refuse new connections, and answer what still comes on open ones."""
+        """Refuse new connections, and answer requests that still arrive on open ones."""
         for server in self._servers:
             server.retire()
 
     def refuse(self) -> None:
-        """Answer everything that still comes at once: there is no time left for it."""
+        """Answer every further request immediately with 503, as the remaining time is too short to serve it."""
         for server in self._servers:
             server.refuse()
 
     def wait_until_retired(self, deadline: float, needed: Callable[[], bool] = lambda: False) -> bool:
-        """Wait until every call has been answered and the process is not `needed`; False at steady time `deadline`."""
+        """Wait until no call is open and `needed` is false; return False if the monotonic `deadline` passes first."""
         while needed() or not all(server.finished() for server in self._servers):
             if self.host.now() >= deadline:
                 return False
@@ -142,26 +144,26 @@
         return True
 
     def _reload(self) -> None:
-        """Read the settings file because a signal says so."""
+        """Reload the settings file on SIGHUP."""
         self._apply(self._watch.reload())
 
     def _poll_settings(self) -> None:
-        """Read the settings file if it has changed."""
+        """Reload the settings file if it has changed since it was last read."""
         self._apply(self._watch.poll())
 
     def _apply(self, changed: Settings | None) -> None:
-        """Put new seeds and the time that stops may take in force; all else takes a restart."""
+        """Apply changed seeds and the changed shutdown grace period; other settings need a restart."""
         if changed is not None:
             self.settings = changed
             self.host.run(lambda: self.membership.update_seeds(list(changed.seeds)), "new settings")
 
     def _answer_status(self, request: StatusRequest, reply: Reply) -> None:
-        """Answer an operator's tool."""
+        """Answer a status request of an operator's tool with the section that it names, or with all sections."""
         sections = {name: status() for name, status in self._sections.items() if request.what in ("", name)}
         reply(StatusReply(msgspec.json.encode(sections)))
 
     def _process_status(self) -> dict[str, object]:
-        """What this process says of itself."""
+        """Return the `process` section: identity, uptime, error counts and the current view."""
         view = self.membership.view
         return {
             "node": self.settings.name,
@@ -179,9 +181,9 @@
 
 
 def prepare_process() -> None:
-    """Set what holds for the whole process; called before threads are started.
+    """Set process-wide options of the interpreter; must be called before threads are started.
 
-    SIGUSR2 writes the stacks of all threads to standard error, also of a process that does not go on.
+    SIGUSR2 writes the stacks of all threads to standard error, even if the process hangs.
     """
     faulthandler.register(signal.SIGUSR2, all_threads=True)
     threading.stack_size(THREAD_STACK_BYTES)
@@ -190,7 +192,7 @@
 
 
 def wait_for_settings(log: EventLog) -> tuple[str, Settings]:
-    """The settings file's path and content; a broken file is logged and read again until it is sound."""
+    """Return the path and content of the settings file; an invalid file is logged and read again until it is valid."""
     path = settings_file.config_path()
     loaded = settings_file.load(path)
     while isinstance(loaded, SettingsProblem):
@@ -201,7 +203,7 @@
 
 
 def _descriptor(settings: Settings, address: str) -> NodeDescriptor:
-    """This process, as it is described to others."""
+    """Return the descriptor by which other processes know this one, with a new random incarnation."""
     return NodeDescriptor(
         name=settings.name,
         address=address,
--- a/pipitledge/programs/http_handlers.py
+++ b/pipitledge/programs/http_handlers.py
@@ -1,4 +1,4 @@
-"""From HTTP requests to the planes' calls, and back."""
+"""HTTP handlers of a node: they translate requests into calls of its components, and the results into responses."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def client_handler(ingress: Ingress) -> HttpHandler:
-    """Clients' calls, at the `frontend` address."""
+    """Return the handler of clients' calls, served at the `frontend` address."""
 
     def handle(request: HttpRequest, respond: Respond) -> None:
         def answer(status: int, body: bytes, retry_after_ms: int) -> None:
@@ -31,7 +31,7 @@
 
 
 def readiness_handler(readiness: Readiness) -> HttpHandler:
-    """The platform's question whether to send new connections, at the `readiness` address."""
+    """Return the handler of the platform's readiness probe, served at the `readiness` address."""
 
     def handle(request: HttpRequest, respond: Respond) -> None:
         if request.path != READY_PATH:
@@ -45,7 +45,7 @@
 
 
 def operator_handler(control: ControlFront) -> HttpHandler:
-    """The operator's calls, at a node's `controlPlane` address."""
+    """Return the handler of the operator's calls, served at a node's `controlPlane` address."""
 
     def handle(request: HttpRequest, respond: Respond) -> None:
         def answer(status: int, body: bytes, location: str) -> None:
@@ -57,7 +57,7 @@
 
 
 def _deadline_ms(request: HttpRequest) -> float | None:
-    """How long the client waits; None if it doesn't say so in a way that can be read."""
+    """Return the `x-deadline-ms` header's value, or None if it is missing or not a finite number."""
     try:
         deadline = float(request.headers.get("x-deadline-ms", ""))
     except ValueError:
@@ -66,5 +66,5 @@
 
 
 def _retry_after(milliseconds: int) -> dict[str, str]:
-    """The header that tells when to come back, in whole seconds as HTTP has it."""
+    """Return the Retry-After header, rounded up as HTTP has whole seconds; no header without a delay."""
     return {"Retry-After": str(math.ceil(milliseconds / MS_PER_SECOND))} if milliseconds > 0 else {}
--- a/pipitledge/programs/node.py
+++ b/pipitledge/programs/node.py
@@ -1,4 +1,4 @@
-"""`pipitledge-node`: clients' calls, the operator's calls, and on counted machines the replicated state."""
+"""`pipitledge-node`: serves clients and operators, and on voting nodes holds the replicated state."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 from pipitledge.runtime import logs
 from pipitledge.runtime.http_server import HttpServer, ServerOptions
 
-EDGE, CONTROL_PLANE = "edge", "control_plane"  # in `serves`
-CLIENT_BODY_BYTES = 256 * 1024  # while no configuration says otherwise
-ACCEPTING_FRACTION = 0.5  # of the time to end, for which new connections may still come
-DISK_CLOSE_SECONDS = 1.0  # of the time to end, kept for the disk
-MAX_CALL_SECONDS = LONGEST_PATIENCE_SECONDS + 0.2  # that a call may take until it is answered
+EDGE, CONTROL_PLANE = "edge", "control_plane"  # values of the setting `serves`
+CLIENT_BODY_BYTES = 256 * 1024  # limit unless the configuration sets another one
+ACCEPTING_FRACTION = 0.5  # part of the shutdown grace period during which new connections are still accepted
+DISK_CLOSE_SECONDS = 1.0  # end of the shutdown grace period, reserved for writing to the disk
+MAX_CALL_SECONDS = LONGEST_PATIENCE_SECONDS + 0.2  # longest time until a call is answered
 
 
 class Node:
-    """The planes of one node."""
+    """The components of one node, and their startup and shutdown."""
 
     def __init__(self, core: Core) -> None:
-        """Assemble what the settings ask for."""
+        """Create the components for the roles that the settings give to this node."""
         self._core = core
         settings = core.settings
         self._control: ControlState | None = build_control_state(core) if settings.counted else None
@@ -56,18 +56,19 @@
             self._serve_operator()
 
     def start(self) -> None:
-        """Begin; called under the lock."""
+        """Start the replica and the data plane; called under the lock."""
         if self._control is not None:
             self._control.replica.start()
         if self._data_plane is not None:
             self._data_plane.start()
 
     def end(self, terminated_at: float) -> None:
-        """Leave without losing a call: hand over, answer what still comes, finish what is under way.
+        """Shut down without losing a call: hand over to a backup, then answer all calls within the grace period.
 
-        The platform goes on sending new connections for a while, so they are taken for a part of the time to end.
-        Then none is, and open ones end with their next answer. Calls that come too late to be served in time are
-        answered at once, so that none is under way at the end.
+        The platform keeps sending new connections for a while after SIGTERM, so they are accepted during the first
+        part of the grace period. After that, new connections are refused, and open ones close with their next answer.
+        Requests that arrive too late to be served in time are refused immediately, so that no call is in progress when
+        the process exits.
         """
         core = self._core
         ends_at = terminated_at + core.settings.bounds.grace_s - DISK_CLOSE_SECONDS
@@ -83,14 +84,14 @@
             self._control.close_disk(DISK_CLOSE_SECONDS / 2)
 
     def _hand_over(self) -> None:
-        """Be unready, and let a backup lead."""
+        """Report this node as not ready, and let a backup take over as primary."""
         if self._ingress is not None:
             self._ingress.stop()
         if self._control is not None:
             self._control.replica.step_down()
 
     def _needed_by_backups(self) -> bool:
-        """Whether a backup still has to take over what this node alone may hold."""
+        """Whether this node is still in the in-sync set, so that no backup may have all of its data yet."""
         control = self._control
         if control is None:
             return False
@@ -99,7 +100,7 @@
         return any(answers)
 
     def _serve_clients(self) -> None:
-        """Take clients' calls, and tell the platform whether to send them."""
+        """Serve clients' calls at the frontend address, and the readiness probe of the platform."""
         core, bind = self._core, self._core.settings.bind
         self._data_plane = DataPlane(
             core.host, self._caller, core.settings.name, logs.get("data_plane"), core.settings.bounds
@@ -120,7 +121,7 @@
         core.serve(bind.readiness, readiness_handler(readiness), options)
 
     def _serve_operator(self) -> None:
-        """Take the operator's calls."""
+        """Serve the operator's calls at the control plane address."""
         core, settings = self._core, self._core.settings
         large_answers = LargeAnswers(
             core.membership, settings.name, settings.bind.control_plane, settings.limits.link_mbps
@@ -139,7 +140,7 @@
 
 
 def _apply_limits(frontend: HttpServer, configuration: Configuration) -> None:
-    """Take bodies as long as the configuration says."""
+    """Set the largest request body that the configuration allows."""
     frontend.body_limit = configuration.limits.max_body_bytes or CLIENT_BODY_BYTES
 
 
--- a/pipitledge/programs/node_status.py
+++ b/pipitledge/programs/node_status.py
@@ -1,6 +1,6 @@
-"""What nodes tell operators' tools, section by section: configuration, and where they lead, queues, workers and jobs.
+"""Status sections of nodes for operators' tools: configuration, and on the primary queues, workers and jobs.
 
-Apart from `status`, so that agents need not load the planes that these sections tell of.
+Kept apart from `status`, so that agents need not import the packages that these sections report on.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def data_plane_section(data_plane: DataPlane, readiness: Readiness) -> Section:
-    """The configuration that this node serves by, and whether it is ready for clients."""
+    """Return the configuration that this node's data plane uses, and whether the node is ready for clients."""
     return {
         **_configuration(data_plane.configuration),
         "ready": readiness.ready(),
@@ -29,12 +29,12 @@
 
 
 def keeper_section(keeper: ConfigurationKeeper) -> Section:
-    """The configuration in force, where this node leads."""
+    """Return the committed configuration; its version is None unless this node is the primary."""
     return _configuration(keeper.current())
 
 
 def queues_section(context: Context, membership: Membership) -> Section:
-    """Each queue with its jobs and tasks."""
+    """Return the number of jobs, waiting tasks and runs of each queue."""
     if not context.active:
         return _not_primary(membership)
     jobs: dict[str, list[Job]] = {}
@@ -48,7 +48,7 @@
 
 
 def workers_section(context: Context, membership: Membership) -> Section:
-    """Each worker with the room that it has left, and how many are in each state."""
+    """Return each worker with its free resources, and the number of workers in each state."""
     if not context.active:
         return _not_primary(membership)
     workers = sorted(context.workers.values(), key=lambda worker: (worker.service, worker.node))
@@ -58,7 +58,7 @@
 
 
 def jobs_section(context: Context, membership: Membership) -> Section:
-    """How many jobs there are in each state, and the open ones, the oldest first."""
+    """Return the number of jobs in each state, and the open jobs, oldest first."""
     if not context.active:
         return _not_primary(membership)
     counts = Counter(state.name.lower() for state in context.ended_jobs.values())
@@ -84,7 +84,7 @@
 
 
 def _not_primary(membership: Membership) -> Section:
-    """Only the primary knows; whom to ask instead."""
+    """Return the section of a node that is not the primary: where to find the primary, which has the data."""
     view = membership.view or NO_VIEW
     addresses = {member.name: member.address for member in view.members}
     return {"leads": False, "primary": view.primary, "primaryAddress": addresses.get(view.primary, "")}
@@ -145,10 +145,10 @@
 
 
 def _waiting_tasks(job: Job) -> int:
-    """Tasks that could run now and wait for room."""
+    """Return the number of tasks that are ready to run and wait for free resources."""
     return sum(len(task_group.waiting) for task_group in job.task_groups.values())
 
 
 def _runs(job: Job) -> int:
-    """Runs that hold room on some worker."""
+    """Return the number of runs that occupy resources on a worker."""
     return sum(1 for task in job.tasks() if task.run is not None)
--- a/pipitledge/programs/rejections.py
+++ b/pipitledge/programs/rejections.py
@@ -1,4 +1,4 @@
-"""Answers of the HTTP fronts to calls that none of them takes."""
+"""Responses of the HTTP handlers to requests with an unknown path or a wrong method."""
 
 from __future__ import annotations
 
--- a/pipitledge/programs/status.py
+++ b/pipitledge/programs/status.py
@@ -1,4 +1,7 @@
-"""What every process tells operators' tools: who is alive. Lists are bounded, as they are made under the lock."""
+"""Status section of every process for operators' tools: which processes are alive.
+
+The length of lists is limited, as they are built while the process-wide lock is held.
+"""
 
 from __future__ import annotations
 
@@ -7,14 +10,14 @@
 from pipitledge.membership.membership import Membership
 from pipitledge.wire.messages import Member, NodeDescriptor, View
 
-MAX_LIST_ENTRIES = 200  # entries of a section; the rest is counted
+MAX_LIST_ENTRIES = 200  # in a section; the number of entries left out is reported
 NO_VIEW = View()
 
 Section = dict[str, object]
 
 
 def members_section(own_descriptor: NodeDescriptor, membership: Membership) -> Section:
-    """All processes that are alive as far as this one knows, and the voting members that are not."""
+    """Return the processes in this one's membership view as alive, and voting members missing from it as not alive."""
     view = membership.view or NO_VIEW
     alive = [own_descriptor, *membership.nodes()]
     names = {node.name for node in alive}
@@ -49,7 +52,7 @@
 
 
 def _view_role(name: str, view: View) -> str:
-    """What the view makes of a node."""
+    """Return the role that the view gives to a node; empty if the node is not a member."""
     if name == view.primary:
         return "primary"
     if name in view.in_sync:
@@ -58,7 +61,7 @@
 
 
 def limited_list(name: str, rows: Iterable[Section]) -> Section:
-    """The rows, and how many were left out, if any."""
+    """Return the first rows under `name`, and the number of rows left out, if any."""
     listed = list(rows)
     section: Section = {name: listed[:MAX_LIST_ENTRIES]}
     if len(listed) > MAX_LIST_ENTRIES:
--- a/pipitledge/programs/worker_http_handler.py
+++ b/pipitledge/programs/worker_http_handler.py
@@ -1,4 +1,7 @@
-"""The worker's heartbeats as HTTP requests. Apart from `fronts`, so that agents need not load the nodes' planes."""
+"""HTTP handler of an agent for its worker's heartbeats.
+
+Kept apart from `http_handlers`, so that agents need not import the components of nodes.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 
 def worker_handler(agent: Agent) -> HttpHandler:
-    """The worker's heartbeats, at an agent's `controlPlane` address."""
+    """Return the handler of the worker's heartbeat and leave calls, served at an agent's `controlPlane` address."""
 
     def handle(request: HttpRequest, respond: Respond) -> None:
         def answer(status: int, body: bytes) -> None:
--- a/pipitledge/wire/codec.py
+++ b/pipitledge/wire/codec.py
@@ -1,4 +1,4 @@
-"""Turns messages and records into bytes and back, in the FlatBuffers format of ``schema.fbs``."""
+"""Encodes and decodes messages and records in the FlatBuffers format of ``schema.fbs``."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 class _Envelope(Struct):
-    """Root of a message on the wire."""
+    """Root table of a message on the wire: the message's type and the position of its table."""
 
     message_type: int
-    message: int  # position of its table
+    message: int  # position of the message's table in the buffer
 
 
-_NO_MESSAGE = 0  # of the union
+_NO_MESSAGE = 0  # number that FlatBuffers reserves for an empty union
 _MESSAGE_TYPES: dict[int, type[Struct]] = {
     number: getattr(messages, name)
     for name, number in vars(Message).items()
@@ -40,12 +40,13 @@
         FieldPlan("message", FieldKind.POSITION, required=True),
     ),
 )
-# The envelope is alike for all messages: offset of the root, then the vtable, then the table.
+# The envelope has the same layout for all messages: offset of the root table, then its vtable, then the table.
+# The following numbers are offsets in bytes.
 _ENVELOPE = struct.Struct("<I HHHH iIB3x")
 _ENVELOPE_VTABLE = 4
 _ENVELOPE_TABLE = 12
-_ENVELOPE_REFERENCE = 4  # in the table
-_ENVELOPE_NUMBER = 8  # in the table
+_ENVELOPE_REFERENCE = 4  # of the reference to the message, in the table
+_ENVELOPE_NUMBER = 8  # of the message type's number, in the table
 _ENVELOPE_HEADERS = {
     message_type: _ENVELOPE.pack(
         _ENVELOPE_TABLE,
@@ -63,15 +64,15 @@
 
 
 def encode(message: Struct) -> bytes:
-    """A message in its envelope; its type has to be one of the schema's union `Message`."""
-    head = _ENVELOPE_HEADERS.get(type(message))
-    if head is None:
-        raise WireError(f"{type(message).__name__} is not sent by itself")
-    return _write(message, head, _ENVELOPE_TABLE + _ENVELOPE_REFERENCE)
+    """Return the message encoded in an envelope; its type must be in the schema's union `Message`."""
+    header = _ENVELOPE_HEADERS.get(type(message))
+    if header is None:
+        raise WireError(f"{type(message).__name__} is not in the union Message, so it can't be sent on its own")
+    return _write(message, header, _ENVELOPE_TABLE + _ENVELOPE_REFERENCE)
 
 
 def decode(data: bytes) -> Struct:
-    """The message in an envelope; WireError for all that is none."""
+    """Return the message in an envelope; raises WireError if the data is malformed or the type unknown."""
     reader = Reader(data)
     envelope = reader.table(reader.root(), _ENVELOPE_PLAN)
     assert isinstance(envelope, _Envelope)
@@ -82,20 +83,20 @@
 
 
 def encode_record(record: Struct) -> bytes:
-    """A record by itself, of a type that the reader knows."""
+    """Return the record encoded without an envelope; the reader must know its type."""
     return _write(record, _RECORD_HEADER, 0)
 
 
 def decode_record(data: bytes, record_type: type[Record]) -> Record:
-    """A record of that type; WireError for bytes that hold none."""
+    """Return the record of the given type; raises WireError if the data is malformed."""
     reader = Reader(data)
     record = reader.table(reader.root(), plan_of(record_type))
     assert isinstance(record, record_type)
     return record
 
 
-def _write(value: Struct, head: bytes, slot: int) -> bytes:
-    writer = Writer(head)
+def _write(value: Struct, header: bytes, slot: int) -> bytes:
+    writer = Writer(header)
     try:
         writer.table(value, slot)
         return writer.finish()
--- a/pipitledge/wire/messages.py
+++ b/pipitledge/wire/messages.py
@@ -1,7 +1,8 @@
-"""Every message that the system's own processes send each other, and every record kept in replicated state.
+"""All messages that the system's processes send each other, and all records kept in replicated state.
 
-Each class is one table of ``schema.fbs``, field for field; ``codec`` encodes and decodes them. Times that
-cross machines are durations or echoes of the sender's own clock, never points of another machine's clock.
+Each class has the same fields as the table of its name in ``schema.fbs``; ``codec`` encodes and decodes them. Times
+sent between machines are durations, or timestamps that the receiver echoes to the machine that made them. No process
+compares a timestamp of another machine's clock with its own clock.
 """
 
 from __future__ import annotations
@@ -14,43 +15,43 @@
 
 
 class NodeDescriptor(Struct):
-    """One process of the system, as it describes itself; gossip passes it on with its age."""
+    """Description of a process by itself. Gossip spreads it with the age of the information."""
 
     name: str = ""
-    address: str = ""  # "ip:port" of its internal HTTP server; datagrams go to the same port over UDP
+    address: str = ""  # "ip:port" of its internal HTTP server; datagrams use the same port over UDP
     zone: str = ""
     region: str = ""
     machine_class: str = ""
-    counted: bool = False  # holds replicated state and votes (countsForQuorum)
-    bootstrap: bool = False  # first start of the whole system
-    incarnation: int = 0  # drawn anew at each start of the process
-    started_sequence: int = 0  # rises with each start, where a disk can keep it
-    age_ms: int = 0  # since the node itself spoke
+    counted: bool = False  # voting node: holds replicated state and counts for the quorum (setting countsForQuorum)
+    bootstrap: bool = False  # started as part of the first start of the system, and not a member yet
+    incarnation: int = 0  # random number drawn at each start of the process
+    started_sequence: int = 0  # number of the process's start, if a disk can store it; otherwise 0
+    age_ms: int = 0  # time since the process sent this description itself
 
 
 class Member(Struct):
-    """One counted node that votes on views."""
+    """A voting member: a node that holds replicated state and votes on views."""
 
     name: str = ""
     address: str = ""
     zone: str = ""
     region: str = ""
-    disk_id: int = 0  # drawn when the disk was formatted; another number means that the disk was lost
+    disk_id: int = 0  # random number drawn when the disk is formatted; a different number means that the disk was lost
 
 
 class View(Struct):
-    """Who leads and who holds everything: decided by a majority of `members`, one view an epoch."""
+    """The primary and the in-sync set, decided by a majority of `members`; there is one view per epoch."""
 
-    epoch: int = 0  # 0: no view yet
-    term: int = 0  # epoch at which this primary took over; the fence token of its orders
+    epoch: int = 0  # 0: there is no view yet
+    term: int = 0  # epoch at which this primary was elected; fencing token of its orders
     primary: str = ""
-    in_sync: list[str] = []  # names; each holds all that was acknowledged
+    in_sync: list[str] = []  # names of the members that hold all acknowledged writes
     members: list[Member] = []
-    previous: list[Member] = []  # while members change: those before; a majority of both lists decides
+    previous: list[Member] = []  # during a membership change: the old members; majorities of both lists are needed
 
 
 class Shuffle(Struct):
-    """Half of an exchange of partial views (datagram); `reply` asks for the other half."""
+    """Half of an exchange of partial membership views (datagram); `reply` asks for the other half."""
 
     sender: NodeDescriptor
     sample: list[NodeDescriptor] = []
@@ -62,19 +63,19 @@
 
 
 class Heartbeat(Struct):
-    """Primary to members (datagram): keeps the lease."""
+    """Primary to voting members (datagram): renews the primary's lease."""
 
     epoch: int = 0
     term: int = 0
     primary: str = ""
-    sent_at: float = 0.0  # the primary's steady clock, echoed
+    sent_at: float = 0.0  # on the primary's monotonic clock; echoed in the reply
     committed: int = 0
     wall_ms: int = 0
     view: View | None = None
 
 
 class HeartbeatReply(Struct):
-    """Member to primary (datagram). `epoch` is the highest promised; a higher one than sent refuses the lease."""
+    """Voting member to primary (datagram). If `epoch` is higher than in the heartbeat, the lease is not renewed."""
 
     epoch: int = 0
     name: str = ""
@@ -83,12 +84,12 @@
     term: int = 0  # of the last entry held
     sequence: int = 0  # of the last entry held durably
     wall_ms: int = 0
-    amnesiac: bool = False  # lost its disk and has not recovered its promises
-    leaving: bool = False  # is about to stop, and should not be relied on
+    amnesiac: bool = False  # the member lost its disk and has not recovered its promises yet
+    leaving: bool = False  # the member is about to stop, and should leave the in-sync set
 
 
 class Prepare(Struct):
-    """First phase of a change of view: promise to take no lower epoch."""
+    """First phase of a view change: asks a member to promise that it accepts no lower epoch."""
 
     epoch: int = 0
     proposer: str = ""
@@ -98,15 +99,15 @@
     """Answer to `Prepare`."""
 
     granted: bool = False
-    epoch: int = 0  # highest promised
-    accepted: View | None = None  # highest accepted
+    epoch: int = 0  # highest epoch promised
+    accepted: View | None = None  # accepted view with the highest epoch
     disk_id: int = 0
     name: str = ""
-    reason: str = ""  # why it is not granted: "epoch", "lease", "amnesiac"
+    reason: str = ""  # if not granted: "epoch", "lease", "amnesiac"; "leaving" if granted by a member about to stop
 
 
 class Propose(Struct):
-    """Second phase of a change of view: accept this view."""
+    """Second phase of a view change: asks a member to accept this view."""
 
     view: View
 
@@ -120,13 +121,13 @@
 
 
 class EpochQuery(Struct):
-    """A member that lost its disk asks the others for what they promised and accepted."""
+    """A member that lost its disk asks the others for their promised epochs and accepted views."""
 
     name: str = ""
 
 
 class EpochReply(Struct):
-    """Answer to `EpochQuery`; an amnesiac member's answer does not count."""
+    """Answer to `EpochQuery`; the answer of a member that lost its own disk is not counted."""
 
     name: str = ""
     promised: int = 0
@@ -136,7 +137,7 @@
 
 
 class InitialPrepare(Struct):
-    """First phase of the decision on the first members: a seed promises to take no lower ballot."""
+    """First phase of the decision on the initial members: asks a seed to promise that it accepts no lower ballot."""
 
     ballot: int = 0
     proposer: str = ""
@@ -148,13 +149,13 @@
     granted: bool = False
     address: str = ""  # the seed's internal address
     ballot: int = 0  # highest promised
-    accepted: int = 0  # ballot of the list accepted; 0 if none
-    members: list[Member] = []  # that list
-    known: list[Member] = []  # counted nodes that started with the system, so far as the seed knows
+    accepted: int = 0  # ballot of the accepted list; 0 if none
+    members: list[Member] = []  # the accepted list
+    known: list[Member] = []  # voting nodes that took part in the first start, as known to the seed
 
 
 class InitialPropose(Struct):
-    """Second phase: accept these as the first members."""
+    """Second phase of the decision on the initial members: asks a seed to accept this list."""
 
     ballot: int = 0
     proposer: str = ""
@@ -170,9 +171,9 @@
 
 
 class RecoveryQuery(Struct):
-    """An operator's tool asks a counted node what it knows, before a recovery by hand."""
+    """An operator's tool asks a voting node for its state, before a manual recovery."""
 
-    name: str = ""  # of the node meant; empty: whoever is at the address
+    name: str = ""  # of the node to answer; empty: any node at the address
 
 
 class RecoveryState(Struct):
@@ -184,17 +185,17 @@
     region: str = ""
     disk_id: int = 0
     promised: int = 0
-    accepted: View | None = None  # of the highest epoch accepted
-    decided: View | None = None  # the newest known to be decided
+    accepted: View | None = None  # accepted view with the highest epoch
+    decided: View | None = None  # newest view known to be decided by a quorum
     amnesiac: bool = False
     leads: bool = False
-    hears_primary: bool = False  # or did so within the last lease
+    hears_primary: bool = False  # a lease that this node granted to a primary may still be valid
     term: int = 0  # of the last entry held
     sequence: int = 0  # of the last entry held
 
 
 class RecoveryOrder(Struct):
-    """Recovery by hand: take this view, which no quorum decided."""
+    """Manual recovery: tells a node to adopt this view, although no quorum decided it."""
 
     view: View
 
@@ -204,29 +205,29 @@
 
     granted: bool = False
     name: str = ""
-    reason: str = ""  # why it is not granted
+    reason: str = ""  # if not granted: why
 
 
 class Forward(Struct):
-    """A call that goes by way of a relay, as its sender can't reach its receiver; without a message it is a probe."""
+    """A call that is sent through a relay, as the sender can't reach the receiver; without a message it is a probe."""
 
     target: str = ""  # internal address of the receiver
     origin: str = ""  # internal address of the sender
-    relay: str = ""  # internal address of the relay, once that has passed it on
-    timeout_ms: int = 0  # how long the relay may wait for the answer
-    message: bytes = b""  # encoded
+    relay: str = ""  # internal address of the relay; set by the relay when it forwards the call
+    timeout_ms: int = 0  # how long the relay waits for the answer
+    message: bytes = b""  # the encoded call; empty for a probe
 
 
 class Forwarded(Struct):
     """Answer to `Forward`."""
 
-    answered: bool = False  # whether the receiver was reached and gave an answer
-    message: bytes = b""  # that answer, encoded
-    view: View | None = None  # the newest that a relay knows which did not reach the receiver
+    answered: bool = False  # whether the receiver was reached and answered
+    message: bytes = b""  # the encoded answer
+    view: View | None = None  # newest view known to the relay, if it could not reach the receiver
 
 
 class Write(Struct):
-    """One key's new value in replicated state; `deleted` removes the key."""
+    """New value of one key in replicated state, or with `deleted` the removal of the key."""
 
     key: str = ""
     value: bytes = b""
@@ -234,7 +235,7 @@
 
 
 class Entry(Struct):
-    """An atomic batch of writes."""
+    """An entry of the replicated log: a batch of writes that are applied atomically."""
 
     term: int = 0
     sequence: int = 0
@@ -242,7 +243,7 @@
 
 
 class Append(Struct):
-    """Primary to backup: entries that follow (previous_term, previous_sequence)."""
+    """Primary to backup: the log entries that follow (previous_term, previous_sequence)."""
 
     epoch: int = 0
     term: int = 0
@@ -254,7 +255,7 @@
 
 
 class AppendReply(Struct):
-    """Answer to `Append`, sent once the entries are durable."""
+    """Answer to `Append`, sent after the entries have been written durably."""
 
     accepted: bool = False
     epoch: int = 0  # highest promised
@@ -262,11 +263,11 @@
     disk_id: int = 0
     term: int = 0  # of the last entry held
     sequence: int = 0  # of the last entry held durably
-    diverged: bool = False  # state does not match: repair by digests is needed
+    diverged: bool = False  # the backup's state doesn't match the primary's: a repair by digests is needed
 
 
 class RangeDigest(Struct):
-    """Digest of all keys whose hash falls into one of the ranges that the key space is cut into."""
+    """Digest of all keys in one of the ranges into which the keys are divided by their hashes."""
 
     range: int = 0
     digest: int = 0
@@ -274,7 +275,7 @@
 
 
 class RepairRequest(Struct):
-    """Backup to primary: digests of what the backup holds."""
+    """Backup to primary: digests of the backup's state, to find the ranges that differ."""
 
     name: str = ""
     disk_id: int = 0
@@ -283,14 +284,14 @@
 
 
 class RangeContent(Struct):
-    """All keys of one range."""
+    """All keys and values of one range."""
 
     range: int = 0
     writes: list[Write] = []
 
 
 class RepairReply(Struct):
-    """Primary to backup: the ranges that differ, as of (term, sequence); `complete` when all of them are here."""
+    """Primary to backup: content of the ranges that differ, as of (term, sequence); `complete` if none is left out."""
 
     granted: bool = False
     epoch: int = 0
@@ -302,7 +303,7 @@
 
 
 class NotPrimary(Struct):
-    """Answer to a call that only the primary takes, from a node that is not it (or not sure of it)."""
+    """Answer to a call for the primary, by a node that is not the primary or can't be sure that it still is."""
 
     view: View | None = None
 
@@ -311,7 +312,7 @@
 
 
 class CallKind(enum.IntEnum):
-    """What a client asks of a queue."""
+    """Kind of a client's call to a queue."""
 
     SUBMIT = 0
     STATE = 1
@@ -320,7 +321,7 @@
 
 
 class ClientCall(Struct):
-    """A client's call, handed from the node that took it to the primary."""
+    """A client's call, forwarded to the primary by the node that received it."""
 
     kind: int = 0
     host: str = ""
@@ -339,7 +340,7 @@
 
 
 class OperatorCall(Struct):
-    """An operator's call, handed on to the primary."""
+    """An operator's call, forwarded to the primary by the node that received it."""
 
     method: str = ""
     if_match: str = ""
@@ -354,45 +355,45 @@
 
 
 class DatasetVersion(Struct):
-    """One component of a version vector: how much of one origin's data a node holds."""
+    """One component of a version vector: the version that a node holds of one origin's data."""
 
     origin: str = ""
     version: int = 0
 
 
 class PartialTransfer(Struct):
-    """What a data plane node holds of a transfer that is not complete."""
+    """The part of an incomplete transfer that a data plane node has received."""
 
     origin: str = ""
-    base: int = 0  # the version that the transfer changes; 0: it is whole
+    base: int = 0  # version that the transfer is a delta to; 0: it is a full copy
     version: int = 0
-    digest: int = 0  # of the transfer's bytes
-    offset: int = 0  # bytes held
+    digest: int = 0  # of all bytes of the transfer
+    offset: int = 0  # number of bytes received
 
 
 class PullRequest(Struct):
-    """A data plane node asks for what it is missing."""
+    """A data plane node asks for datasets that are newer than those it holds."""
 
     node: str = ""
     vector: list[DatasetVersion] = []
     partial: PartialTransfer | None = None
-    takes_pieces: bool = False  # nodes of earlier versions know the configuration as it is alone
+    takes_pieces: bool = False  # False for nodes of earlier versions, which accept only the whole configuration
 
 
 class Update(Struct):
-    """A dataset at one version as it is, or, with a `total`, a piece of its packed transfer."""
+    """A dataset at one version, or if `total` is not 0, one piece of its compressed transfer."""
 
     origin: str = ""
     version: int = 0
     payload: bytes = b""
-    base: int = 0  # the version that the transfer changes; 0: it is whole
-    digest: int = 0  # of the transfer's bytes
-    offset: int = 0  # of this piece
-    total: int = 0  # bytes of the transfer; 0: the payload is the dataset as it is
+    base: int = 0  # version that the transfer is a delta to; 0: it is a full copy
+    digest: int = 0  # of all bytes of the transfer
+    offset: int = 0  # of this piece in the transfer
+    total: int = 0  # bytes of the transfer; 0: the payload is the whole dataset, uncompressed
 
 
 class PullReply(Struct):
-    """Everything newer than the vector that was sent."""
+    """Answer to `PullRequest`: all datasets that are newer than the requested vector."""
 
     term: int = 0
     updates: list[Update] = []
@@ -403,7 +404,7 @@
 
 
 class WorkerInfo(Struct):
-    """A worker's account of itself, as its last heartbeat told."""
+    """State of a worker, as reported by its last heartbeat."""
 
     instance: str = ""
     service: str = ""
@@ -417,7 +418,7 @@
     memory_mb: int = 0
     gpu: int = 0
     labels: list[str] = []
-    remaining_ms: int = -1  # while draining: least time until it leaves; -1: not told
+    remaining_ms: int = -1  # while draining: shortest time until the worker leaves; -1: unknown
     sequence: int = 0
     heartbeat_age_ms: int = 0
 
@@ -437,44 +438,46 @@
     number: int = 0
     task: str = ""
     run: int = 0
-    how: str = ""  # done, failed, stopped, lapsed, broken, alone
+    how: str = ""  # done, failed, stopped, lapsed (lease expired), broken (gang member ended), alone (gang incomplete)
     saved: str = ""
 
 
 class OrderResult(Struct):
-    """How an order to a worker ended, where the lists do not tell."""
+    """Outcome of an order to a worker that the lists of running and finished tasks don't show."""
 
     task: str = ""
     run: int = 0
     order: str = ""  # "start" or "stop"
-    outcome: str = ""  # started, stopped, old, room, invalid, unhealthy, draining, gone
-    at_hold: int = 0  # number of the first hold call sent after the answer
+    # started, stopped, old (a run of this or a higher number is known), room (too few free resources), invalid,
+    # unhealthy, draining, gone (the worker instance is no longer current)
+    outcome: str = ""
+    at_hold: int = 0  # number of the first hold call sent after the worker's answer to the order
 
 
 class AgentReport(Struct):
-    """Agent to primary: all that is known of the worker. Repeated whole, so any one of them suffices."""
+    """Agent to primary: the complete state of the worker, so that no earlier report is needed."""
 
     node: str = ""
     address: str = ""
     zone: str = ""
     incarnation: int = 0
-    number: int = 0  # rises with each report of this incarnation
-    term: int = 0  # highest term that the agent obeys
-    sent_at: float = 0.0  # agent's steady clock, echoed
+    number: int = 0  # increases with each report of this incarnation of the agent
+    term: int = 0  # highest term known to the agent, which refuses orders of lower terms
+    sent_at: float = 0.0  # on the agent's monotonic clock; echoed in the answer
     worker: WorkerInfo | None = None
-    ended_instances: list[str] = []  # lives of the worker known to be over
-    hold_number: int = 0  # of the hold call whose lists these are; 0: none answered yet for this life
-    hold_fence: int = 0  # fence under which it was answered
-    hold_age_ms: int = -1  # since it was sent; -1: never
-    silent_ms: int = 0  # how long the worker has left calls unanswered
+    ended_instances: list[str] = []  # worker instances that are confirmed dead
+    hold_number: int = 0  # of the hold call that returned the lists; 0: none answered yet by this worker instance
+    hold_fence: int = 0  # fencing token under which that call was answered
+    hold_age_ms: int = -1  # time since that call was sent; -1: none was
+    silent_ms: int = 0  # how long the worker has not answered calls; 0: it answers
     running: list[RunningTask] = []
     finished: list[FinishedTask] = []
     results: list[OrderResult] = []
-    lapsed_instance: str = ""  # a silent life of the worker whose holds have all run out: nothing runs there
+    lapsed_instance: str = ""  # unresponsive worker instance with all task leases expired, so nothing runs on it
 
 
 class StartOrder(Struct):
-    """Start one run of a task."""
+    """Order to start one run of a task."""
 
     task: str = ""
     run: int = 0
@@ -483,31 +486,31 @@
 
 
 class StopOrder(Struct):
-    """Stop one run of a task, or make sure it never starts."""
+    """Order to stop one run of a task, or to prevent its start."""
 
     task: str = ""
     run: int = 0
 
 
 class AgentOrders(Struct):
-    """Primary to agent: answer to a report, or sent by itself. Each is repeated until a report shows its effect."""
+    """Primary to agent: answer to a report, or a push without one; repeated until a report shows the effect."""
 
     term: int = 0
     primary: str = ""
     address: str = ""  # the primary's internal address
-    sent_at: float = 0.0  # echo of the report; 0 where sent without one
-    report_number: int = 0  # of the report that this answers
-    grant_ms: int = 0  # tasks may be held until sent_at + grant_ms on the agent's clock
-    instance: str = ""  # the worker's life that the orders are for
-    acknowledged: int = 0  # ends of that life up to this number are in replicated state
+    sent_at: float = 0.0  # echoed from the report; 0 if sent without one
+    report_number: int = 0  # of the report that this message answers
+    grant_ms: int = 0  # task leases may be extended up to sent_at + grant_ms on the agent's clock
+    instance: str = ""  # worker instance that the orders are for
+    acknowledged: int = 0  # finished tasks of that instance up to this number are in replicated state
     starts: list[StartOrder] = []
     stops: list[StopOrder] = []
     view: View | None = None
-    poll_interval_ms: int = 0  # least time between two looks at what ended; looks have a price; 0: the agent's choice
+    poll_interval_ms: int = 0  # minimum interval of polls for finished tasks, as each has a cost; 0: agent decides
 
 
 class OrdersReply(Struct):
-    """Agent's answer to pushed orders."""
+    """Agent's answer to `AgentOrders` that the primary sent without a report."""
 
     accepted: bool = False
     term: int = 0
@@ -517,13 +520,13 @@
 
 
 class StatusRequest(Struct):
-    """Ask a process for its own view of things; `what` names a section or is empty for all."""
+    """Asks a process for its status; `what` names a section, or is empty for all sections."""
 
     what: str = ""
 
 
 class StatusReply(Struct):
-    """JSON text."""
+    """Answer to `StatusRequest`: a JSON object with one entry per section."""
 
     body: bytes = b""
 
@@ -532,14 +535,14 @@
 
 
 class ConfigurationRecord(Struct):
-    """The configuration in force; `body` is the operators' JSON, merged."""
+    """The current configuration; `body` is the merged JSON of the operators' changes."""
 
     version: int = 0
     body: bytes = b""
 
 
 class ChangeRecord(Struct):
-    """One change that was taken, so that it can be acknowledged again."""
+    """An accepted configuration change, kept so that a repeated request for it is acknowledged again."""
 
     version: int = 0
     digest: str = ""
@@ -547,7 +550,7 @@
 
 
 class JobState(enum.IntEnum):
-    """Where a job stands; `PENDING` and `RUNNING` are told apart when asked."""
+    """Stored state of a job. `OPEN` covers pending and running jobs, which are distinguished when a client asks."""
 
     OPEN = 0
     COMPLETED = 1
@@ -556,7 +559,7 @@
 
 
 class JobRecord(Struct):
-    """An accepted job."""
+    """An accepted job, as stored in replicated state."""
 
     id: str = ""
     route: str = ""
@@ -564,29 +567,29 @@
     body: bytes = b""  # as the client sent it
     state: int = 0
     accepted_wall_ms: int = 0
-    order: int = 0  # rises in the order of acceptance
-    priority: int = 0  # of its route, as it was when the job was accepted: the route may be removed since
+    order: int = 0  # increases in the order of acceptance
+    priority: int = 0  # of its route at acceptance; stored as the route may be removed later
     max_attempts: int = 0
     stretch: float = 0.0
     target_latency_ms: int = 0
 
 
 class TaskPhase(enum.IntEnum):
-    """Where a task stands."""
+    """Stored phase of a task."""
 
     WAITING = 0
-    ASSIGNED = 1  # a run was ordered and its end is not known
+    ASSIGNED = 1  # a run has been ordered, and its outcome is not known yet
     DONE = 2
     FAILED = 3
 
 
 class TaskRecord(Struct):
-    """One task that has been started at least once."""
+    """A task that has been started at least once, as stored in replicated state."""
 
     phase: int = 0
-    run: int = 0  # number of its last run
-    node: str = ""  # agent of the worker of that run
-    instance: str = ""  # life of that worker
+    run: int = 0  # number of the last run
+    node: str = ""  # name of the agent beside the worker of that run
+    instance: str = ""  # worker instance of that run
     failures: int = 0
     saved: str = ""
     stopping: bool = False
--- a/pipitledge/wire/plan.py
+++ b/pipitledge/wire/plan.py
@@ -1,4 +1,4 @@
-"""What the codec knows of each message type: its fields, and how FlatBuffers holds them."""
+"""Describes how each message type is encoded: its fields, and how FlatBuffers represents them."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from msgspec import Struct
 
 UNSIGNED_FIELDS = frozenset({"disk_id", "digest", "incarnation"})
-"""Integer fields that are drawn or hashed over all 64 bits: `ulong` in the schema, where others are `long`."""
+"""Names of integer fields with random or hashed values of 64 bits: `ulong` in the schema, other integers are `long`."""
 
 REFERENCE_CODE = "I"
-"""Format (as in `struct`) of the offset that stands in a table for a string, a vector or another table."""
+"""Format (as in `struct`) of the offset by which a table refers to a string, a vector or another table."""
 
 
 class WireError(Exception):
-    """Bytes that are not a message, or a message that has no encoding; `reason` says why."""
+    """Raised for bytes that can't be decoded and for messages that can't be encoded; `reason` says why."""
 
     def __init__(self, reason: str) -> None:
-        """Bytes or a message that this reason rules out."""
+        """Keep the reason, a sentence for logs and error messages."""
         super().__init__(reason)
         self.reason = reason
 
 
 class FieldKind(enum.Enum):
-    """How a field is held."""
+    """How FlatBuffers represents a field."""
 
     SCALAR = enum.auto()
     STRING = enum.auto()
@@ -37,29 +37,29 @@
     TABLE = enum.auto()
     STRINGS = enum.auto()
     TABLES = enum.auto()
-    POSITION = enum.auto()  # a table of a type that is not known yet: read as its position
+    POSITION = enum.auto()  # a table whose type is not known yet; decoded to its position in the buffer
 
 
 @dataclass(frozen=True, slots=True)
 class FieldPlan:
-    """One field of a table."""
+    """The encoding of one field of a table."""
 
     name: str
     kind: FieldKind
-    code: str = REFERENCE_CODE  # format, as in `struct`, of what stands in the table itself
-    table: type[Struct] | None = None  # type of the other table or tables
+    code: str = REFERENCE_CODE  # format, as in `struct`, of the field's inline part: the scalar itself or an offset
+    table: type[Struct] | None = None  # type of the nested table, or of the elements of a vector of tables
     default: object = None
     required: bool = False
 
     @property
     def size(self) -> int:
-        """Bytes taken in the table itself."""
+        """Bytes of the field's inline part."""
         return struct.calcsize("<" + self.code)
 
 
 @cache
 def fields_of(message_type: type[Struct]) -> tuple[FieldPlan, ...]:
-    """The fields of a message type, in the order of the schema."""
+    """Return the encoding of a message type's fields, in the order of the schema."""
     return tuple(_plan_field(message_type, field) for field in msgspec.structs.fields(message_type))
 
 
@@ -67,7 +67,9 @@
     kind, code, table = _representation(field.name, field.type)
     default = None if field.default is msgspec.NODEFAULT else field.default
     if kind is not FieldKind.SCALAR and default:
-        raise TypeError(f"{message_type.__name__}.{field.name}: what is absent on the wire has to be empty or None")
+        raise TypeError(
+            f"{message_type.__name__}.{field.name}: only scalars may have a default other than empty or None"
+        )
     return FieldPlan(field.name, kind, code, table, default, field.required)
 
 
@@ -94,5 +96,5 @@
     choices = typing.get_args(annotation) if isinstance(annotation, types.UnionType) else (annotation,)
     (table,) = [choice for choice in choices if choice is not type(None)]
     if not issubclass(table, Struct):
-        raise TypeError(f"no representation for {annotation}")
+        raise TypeError(f"fields of type {annotation} can't be encoded")
     return typing.cast("type[Struct]", table)
--- a/pipitledge/wire/writer.py
+++ b/pipitledge/wire/writer.py
@@ -1,8 +1,8 @@
-"""Writes tables in the FlatBuffers format.
+"""Encodes tables in the FlatBuffers format.
 
-Buffers are written front to back: a table, then what it refers to, and the strings at the end, each of them once.
-A table's scalars are packed in one step, which makes this many times faster than the builder of the `flatbuffers`
-package, that places each field by itself.
+Buffers are written front to back: a table, then the tables and vectors that it refers to, and at the end the strings,
+each of them once. All scalars of a table are packed in one step. This makes the writer many times faster than the
+builder of the `flatbuffers` package, which writes each field separately.
 """
 
 from __future__ import annotations
@@ -22,21 +22,22 @@
 _PADDING = tuple(bytes(count) for count in range(8))
 _REFERENCE_SIZE = 4
 _VTABLE_HEADER_SIZE = 4
-# Tables begin 4 bytes before a multiple of this, so that the numbers, which come first in them, are aligned.
+# Size of numbers in bytes. Tables start 4 bytes before a multiple of this size: the numbers follow the 4 bytes of the
+# vtable's offset, so they are aligned.
 _NUMBER_SIZE = 8
 
 
 @dataclass(frozen=True, slots=True)
 class _Layout:
-    """Where the fields stand in tables that have the same ones present."""
+    """The positions of the fields in tables of one type in which the same reference fields are present."""
 
     vtable: bytes
-    pack: Callable[..., bytes]  # (offset of the vtable, *scalars)
-    references: tuple[int, ...]  # offsets, in the table, of the references present
+    pack: Callable[..., bytes]  # arguments: offset of the vtable, *scalars
+    references: tuple[int, ...]  # offsets in the table of the references that are present
 
 
 class _TablePlan:
-    """How one type is written."""
+    """Describes how tables of one type are encoded, and caches their layouts."""
 
     def __init__(self, message_type: type[Struct]) -> None:
         self.fields = fields_of(message_type)
@@ -48,7 +49,7 @@
         self._layouts: dict[int, _Layout] = {}
 
     def layout(self, present: int) -> _Layout:
-        """The layout of tables where the references of that bit mask are present."""
+        """Return the layout of tables in which the references in the bit mask `present` are set."""
         found = self._layouts.get(present)
         if found is None:
             found = self._layouts[present] = self._make_layout(present)
@@ -83,16 +84,16 @@
 
 
 class Writer:
-    """One buffer in the making."""
+    """Writes one buffer. A `slot` is the position of a reference, which is filled in when its target is written."""
 
-    def __init__(self, head: bytes) -> None:
-        """A buffer that begins with those bytes."""
-        self._out = bytearray(head)
+    def __init__(self, header: bytes) -> None:
+        """Start the buffer with the bytes of `header`."""
+        self._out = bytearray(header)
         self._vtables: dict[bytes, int] = {}
         self._string_slots: dict[str, list[int]] = {}
 
     def finish(self) -> bytes:
-        """Write the strings, and hand out the buffer."""
+        """Write the strings and return the buffer."""
         out = self._out
         for text, slots in self._string_slots.items():
             position = self._align()
@@ -105,13 +106,13 @@
         return bytes(out)
 
     def table(self, value: Struct, slot: int) -> None:
-        """Write a table; the reference at `slot` points to it."""
+        """Write a table, and let the reference at `slot` point to it."""
         plan = _plan(type(value))
         present = 0
         contents = []
         for bit, name, write in plan.writers:
             content = getattr(value, name)
-            if content:  # a Struct always is; None and what is empty are left out
+            if content:  # a Struct is always true; None and empty values are left out
                 present |= bit
                 contents.append((write, content))
         layout = plan.layout(present)
@@ -125,7 +126,7 @@
             write(self, content, position + offset)
 
     def string(self, text: str, slot: int) -> None:
-        """Note a string, to be written once for all its places."""
+        """Record a reference to a string; `finish` writes each string once for all its references."""
         self._string_slots.setdefault(text, []).append(slot)
 
     def byte_vector(self, content: bytes, slot: int) -> None:
@@ -147,7 +148,7 @@
             self.table(value, first + _REFERENCE_SIZE * index)
 
     def _reference_vector(self, length: int, slot: int) -> int:
-        """Write the vector, its references still empty; the place of the first one."""
+        """Write a vector of references that are filled in later; return the position of the first one."""
         position = self._align()
         _UINT.pack_into(self._out, slot, position - slot)
         self._out += _UINT.pack(length)
@@ -162,7 +163,7 @@
         return position
 
     def _align(self) -> int:
-        """Fill up to the next multiple of 4; the position reached."""
+        """Pad the buffer to the next multiple of 4 bytes; return its new length."""
         out = self._out
         out += _PADDING[-len(out) % _REFERENCE_SIZE]
         return len(out)
--- a/tests/system/test_orderly_end.py
+++ b/tests/system/test_orderly_end.py
@@ -1,8 +1,8 @@
-"""The end of a process that was told to end: every call that it has taken is answered.
+"""Graceful shutdown of a node on SIGTERM: every call that it has accepted is answered.
 
-What users saw: calls on open connections ended without an answer when a node was restarted. What happened: a node took
-calls, on open connections and on new ones, until its very end, waited in vain for a moment without any, and ended with
-those under way cut. Evidence: this test, in which a node ends with calls of 0.5 s and more under way.
+Guards against calls on open connections that end without an answer when a node is restarted. A node used to accept
+calls on open and new connections until it exited, while it waited for a moment without any call; under steady load
+there is none, so it cut the calls in progress. In this test a node shuts down while calls of 0.5 s and more are open.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 GRACE_S = 3.0
 LOSS_SLACK_S = 0.2
 CALLERS = 8
-TIMEOUT_SECONDS = 60.0  # a bound for broken code, never waited for
+TIMEOUT_SECONDS = 60.0  # reached only if the test fails
 
 
 class NodeShutdownTest(unittest.TestCase):
-    """A node that finds no primary: a call about the configuration is under way for 0.85 s."""
+    """The node finds no primary, so each call for the configuration takes 0.85 s."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -54,7 +54,7 @@
         self.ended.set()
 
     def call_until_node_exits(self) -> None:
-        """Call on an open connection, and make another one when the node ends it, as long as it takes any."""
+        """Make calls on one connection after another, until the node has exited or refuses new connections."""
         while not self.ended.is_set():
             try:
                 connection = KeptConnection(self.machine.control_plane)
--- a/tests/system/test_programs.py
+++ b/tests/system/test_programs.py
@@ -1,4 +1,4 @@
-"""The programs' own parts: requests to planes' calls, and the deploy file."""
+"""Tests of the programs: HTTP handlers, the bootstrap gate, the package list and the deploy file."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class FakeIngress:
-    """Tells the calls that it was given."""
+    """Records the calls that it receives, and answers each with status 429."""
 
     def __init__(self, retry_after_ms: int = 0) -> None:
         self.retry_after_ms = retry_after_ms
@@ -102,7 +102,7 @@
 
 
 class FoundingGateTest(unittest.TestCase):
-    """Three seeds, of which this node is one."""
+    """When a node may start the bootstrap of the cluster; with three seeds, one of them this node, unless stated."""
 
     def gate(self, known_addresses: list[str], waited_s: float) -> bool:
         clock = SimpleNamespace(now=lambda: 0.0)
@@ -135,7 +135,7 @@
 
     def test_single_seed_opens_for_itself_and_for_nodes_that_know_it(self) -> None:
         self.assertEqual([self.gate_of(["a:1"], known_addresses) for known_addresses in ([], ["a:1"])], [False, True])
-        self.assertTrue(self.gate_of([], []), "it is the seed itself")
+        self.assertTrue(self.gate_of([], []), "the only seed is this node")
 
     def gate_of(self, other_seeds: list[str], known_addresses: list[str]) -> bool:
         membership = SimpleNamespace(
--- a/tests/system/test_whole_system.py
+++ b/tests/system/test_whole_system.py
@@ -1,4 +1,4 @@
-"""Days of the whole cluster in virtual time: no rule is broken, and each guard that is taken out shows."""
+"""Simulated days of the whole cluster in virtual time: no invariant is violated, and each mutant is detected."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from pipitledge.emulator.cluster.day import Verdict, play
 from tests.system.whole_system_mutants import MUTANTS, Mutant
 
-SEEDS = (*range(28), 67, 128)  # a mutant has to show on one of these days too
+SEEDS = (*range(28), 67, 128)  # of the simulated days; each mutant must be detected on at least one of them
 
 
 @functools.cache
 def simulate_day(seed: int) -> Verdict:
-    """The verdict on a day of the system as it is."""
+    """Return the verdict on a simulated day of the unchanged system; cached for each seed."""
     return play(seed)
 
 
 def simulate_day_with_mutant(mutant: Mutant, seed: int) -> Verdict:
-    """The verdict on a day without that guard."""
+    """Return the verdict on a simulated day of the system with the mutant's patches."""
     with contextlib.ExitStack() as stack:
         for patch in mutant.patches():
             stack.enter_context(patch)
@@ -33,7 +33,7 @@
             with self.subTest(seed=seed):
                 day = simulate_day(seed)
                 self.assertEqual((), day.breaches, f"\n{day}")
-                self.assertGreater(day.starts, day.jobs // 2, "hardly anything ran")
+                self.assertGreater(day.starts, day.jobs // 2, "too few runs were started for the day to show anything")
 
     def test_simulation_is_deterministic_for_a_seed(self) -> None:
         self.assertEqual(simulate_day(1), play(1))
@@ -43,7 +43,7 @@
     def test_each_mutant_is_detected(self) -> None:
         for mutant in MUTANTS:
             with self.subTest(mutant=mutant.name):
-                self.assertIsNotNone(self.first_breach(mutant), f"{mutant.name}: no day of {SEEDS} shows it")
+                self.assertIsNotNone(self.first_breach(mutant), f"{mutant.name}: not detected on any day of {SEEDS}")
 
     def first_breach(self, mutant: Mutant) -> Breach | None:
         for seed in SEEDS:
--- a/tests/system/test_wire.py
+++ b/tests/system/test_wire.py
@@ -1,4 +1,4 @@
-"""The internal protocol: Structs, schema and generated code agree, and bytes of any kind are read safely."""
+"""Tests of the internal protocol: Structs, schema and generated code agree, and malformed bytes are decoded safely."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class RandomMessageGenerator:
-    """Draws values of every type that a field may have."""
+    """Generates messages with random field values, reproducible from a seed."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -74,8 +74,8 @@
 
 
 def random_messages(types: list[type[Struct]], count: int = SAMPLES_PER_TYPE) -> list[Any]:
-    drawer = RandomMessageGenerator(SEED)
-    return [drawer.message(message_type) for message_type in types for _ in range(count)]
+    generator = RandomMessageGenerator(SEED)
+    return [generator.message(message_type) for message_type in types for _ in range(count)]
 
 
 class SchemaAgreement(unittest.TestCase):
@@ -127,7 +127,7 @@
         for value in random_messages([messages.View, messages.AgentReport]):
             data = encode_record(value)
             (position,) = struct.unpack_from("<I", data)
-            self.assertEqual(position % 8, 4, "the numbers follow the 4 bytes at the table's head")
+            self.assertEqual(position % 8, 4, "numbers start 4 bytes after the table's position, at a multiple of 8")
 
     def assert_same(self, value: Any, table: Any) -> None:
         for field in fields_of(type(value)):
@@ -187,7 +187,7 @@
         self.assertEqual(second.starts, [])
 
     def test_tables_written_by_the_flatbuffers_builder_are_read(self) -> None:
-        """The builder leaves out defaults and writes back to front, so its layouts differ from the codec's."""
+        """The builder omits defaults and writes back to front, so its layouts differ from those of the codec."""
         member = importlib.import_module("pipitledge.wire.generated.Member")
         builder = flatbuffers.Builder(0)
         name = builder.CreateString("edge-1")
@@ -223,13 +223,13 @@
                 decode(data)
 
     def test_messages_with_random_byte_changes(self) -> None:
-        drawer = random.Random(SEED)
+        generator = random.Random(SEED)
         for value in random_messages(UNION_TYPES, count=2):
             data = bytearray(encode(value))
             for _ in range(MUTATIONS_PER_MESSAGE):
                 fuzzed = data.copy()
-                for _ in range(drawer.randrange(1, 4)):
-                    fuzzed[drawer.randrange(len(fuzzed))] = drawer.choice([0, 1, 4, 0x7F, 0x80, 0xFF])
+                for _ in range(generator.randrange(1, 4)):
+                    fuzzed[generator.randrange(len(fuzzed))] = generator.choice([0, 1, 4, 0x7F, 0x80, 0xFF])
                 self.assert_read_safely(bytes(fuzzed), value)
 
     def test_unknown_message_type(self) -> None:
@@ -267,7 +267,7 @@
             decode_record(bytes(data), messages.ClientReply)
 
     def test_overlapping_tables(self) -> None:
-        """A small buffer must not unfold into a large message: here all writes are one and the same table."""
+        """A small buffer must not expand into a large message: here all elements of a vector refer to the same table."""
         count = 1000
         writes = [messages.Write(value=b"x" * 10_000)] + [messages.Write()] * (count - 1)
         data = bytearray(encode_record(messages.Entry(writes=writes)))
@@ -280,7 +280,7 @@
             decode_record(bytes(data), messages.Entry)
 
     def assert_read_safely(self, data: bytes, value: Struct) -> None:
-        """Either a message comes out or a WireError; its size stays in proportion."""
+        """Check that decoding raises WireError or returns a message of a size in proportion to the data."""
         try:
             read = decode(data)
         except WireError as error:
