--- a/pipitledge/programs/core.py
+++ b/pipitledge/programs/core.py
@@ -54,9 +54,8 @@
         self.log = logs.get(settings.role)
         self.host = Host(logs.get("host"))
         self.handlers = Handlers()
-        self.connections = max(
-            64, (settings.limits.max_fds - RESERVED_FILE_DESCRIPTORS) // 3
-        )  # limit for each server with much traffic
+        # Limit of connections for each server with much traffic.
+        self.connections = max(64, (settings.limits.max_fds - RESERVED_FILE_DESCRIPTORS) // 3)
         self.transport = Transport(self.host, self.handlers, logs.get("transport"), self.connections)
         self.transport.bind(settings.ip, settings.internal_ports)
         self.own_descriptor = _descriptor(settings, self.transport.address)
--- a/pipitledge/programs/node.py
+++ b/pipitledge/programs/node.py
@@ -71,15 +71,15 @@
         the process exits.
         """
         core = self._core
-        ends_at = terminated_at + core.settings.bounds.grace_s - DISK_CLOSE_SECONDS
+        shutdown_deadline = terminated_at + core.settings.bounds.grace_s - DISK_CLOSE_SECONDS
         core.drain()
         core.host.run(self._hand_over, "termination")
-        stays_until = terminated_at + core.settings.bounds.grace_s * ACCEPTING_FRACTION
-        time.sleep(max(0.0, stays_until - core.host.now()))
+        accept_until = terminated_at + core.settings.bounds.grace_s * ACCEPTING_FRACTION
+        time.sleep(max(0.0, accept_until - core.host.now()))
         core.retire()
-        if not core.wait_until_retired(ends_at - MAX_CALL_SECONDS, self._needed_by_backups):
+        if not core.wait_until_retired(shutdown_deadline - MAX_CALL_SECONDS, self._needed_by_backups):
             core.refuse()
-            core.wait_until_retired(ends_at, self._needed_by_backups)
+            core.wait_until_retired(shutdown_deadline, self._needed_by_backups)
         if self._control is not None:
             self._control.close_disk(DISK_CLOSE_SECONDS / 2)
 
--- a/pipitledge/programs/status.py
+++ b/pipitledge/programs/status.py
@@ -10,7 +10,7 @@
 from pipitledge.membership.membership import Membership
 from pipitledge.wire.messages import Member, NodeDescriptor, View
 
-MAX_LIST_ENTRIES = 200  # in a section; the number of entries left out is reported
+MAX_LIST_ENTRIES = 200  # for each list of a section; the number of entries left out is reported
 NO_VIEW = View()
 
 Section = dict[str, object]
--- a/pipitledge/wire/plan.py
+++ b/pipitledge/wire/plan.py
@@ -96,5 +96,5 @@
     choices = typing.get_args(annotation) if isinstance(annotation, types.UnionType) else (annotation,)
     (table,) = [choice for choice in choices if choice is not type(None)]
     if not issubclass(table, Struct):
-        raise TypeError(f"fields of type {annotation} can't be encoded")
+        raise TypeError(f"no encoding for fields of type {annotation}")
     return typing.cast("type[Struct]", table)
--- a/pipitledge/wire/reader.py
+++ b/pipitledge/wire/reader.py
@@ -31,9 +31,8 @@
 
     size: int
     unpack_from: Callable[[bytes, int], tuple[Any, ...]]
-    fields: tuple[
-        tuple[int, int, _Convert | None], ...
-    ]  # (index of the argument, offset in the table, conversion), in the order of unpacking
+    # (index of the argument, offset in the table, conversion), in the order of unpacking
+    fields: tuple[tuple[int, int, _Convert | None], ...]
     absent_lists: tuple[int, ...]  # indices of the arguments that get a new empty list
 
 
--- a/tests/system/test_wire.py
+++ b/tests/system/test_wire.py
@@ -267,7 +267,7 @@
             decode_record(bytes(data), messages.ClientReply)
 
     def test_overlapping_tables(self) -> None:
-        """A small buffer must not expand into a large message: here all elements of a vector refer to the same table."""
+        """A small buffer must not expand into a large message: here all elements of a vector refer to one table."""
         count = 1000
         writes = [messages.Write(value=b"x" * 10_000)] + [messages.Write()] * (count - 1)
         data = bytearray(encode_record(messages.Entry(writes=writes)))
