--- a/pipitledge/wire/messages.py
+++ b/pipitledge/wire/messages.py
@@ -15,7 +15,7 @@
 
 
 class NodeDescriptor(Struct):
-    """Description of a process by itself. Gossip spreads it with the age of the information."""
+    """A process's description of itself. Gossip spreads it together with its age."""
 
     name: str = ""
     address: str = ""  # "ip:port" of its internal HTTP server; datagrams use the same port over UDP
@@ -77,7 +77,7 @@
 class HeartbeatReply(Struct):
     """Voting member to primary (datagram). If `epoch` is higher than in the heartbeat, the lease is not renewed."""
 
-    epoch: int = 0
+    epoch: int = 0  # highest promised
     name: str = ""
     disk_id: int = 0
     sent_at: float = 0.0
