--- a/pipitledge/programs/agent.py
+++ b/pipitledge/programs/agent.py
@@ -1,4 +1,4 @@
-"""`pipitledge-agent`: the process beside one worker."""
+"""`pipitledge-agent`: the process that runs beside one worker and connects it to the primary."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from pipitledge.agent.agent import Agent, AgentIdentity
 from pipitledge.membership.primary_caller import PrimaryCaller
 from pipitledge.programs.core import Core, prepare_process, wait_for_settings
-from pipitledge.programs.worker_front import worker_front
+from pipitledge.programs.worker_http_handler import worker_handler
 from pipitledge.runtime import logs
 from pipitledge.runtime.http_server import ServerOptions
 from pipitledge.runtime.worker_transport import HttpWorkerTransport
 
 CONTROL_BODY_BYTES = 4 * 1024 * 1024
-FINISH_SECONDS = 1.0  # for heartbeats that are being answered when the process is to end
+HEARTBEAT_DRAIN_SECONDS = 1.0  # on shutdown, longest wait until worker heartbeats in progress are answered
 
 
 def main() -> None:
@@ -26,13 +26,13 @@
         core.drain()
         core.executor.run(agent.stop, "stop")
         core.retire()
-        core.wait_until_retired(core.executor.now() + FINISH_SECONDS)
+        core.wait_until_retired(core.executor.now() + HEARTBEAT_DRAIN_SECONDS)
 
     core.run(agent.start, end)
 
 
 def build_agent(core: Core) -> Agent:
-    """Assemble the agent's planes."""
+    """Create the agent, register its message handlers, and serve the worker's heartbeats if an address is set."""
     settings = core.settings
     caller = PrimaryCaller(
         core.executor,
@@ -46,7 +46,7 @@
         name=settings.name,
         address=core.transport.address,
         zone=settings.zone,
-        incarnation=core.me.incarnation,
+        incarnation=core.own_descriptor.incarnation,
         app_address=settings.app,
         service=settings.service,
     )
@@ -64,7 +64,7 @@
     core.add_status("agent", agent.status)
     if settings.bind.control_plane:
         options = ServerOptions("workers", threads=1, max_threads=4, body_limit=CONTROL_BODY_BYTES, connections=64)
-        core.serve(settings.bind.control_plane, worker_front(agent), options)
+        core.serve(settings.bind.control_plane, worker_handler(agent), options)
     return agent
 
 
--- a/pipitledge/programs/control.py
+++ b/pipitledge/programs/control.py
@@ -1,4 +1,4 @@
-"""What a counted node holds: its disk, its replica, and the services that run where the replica leads."""
+"""Replicated state of a voting node: its disk, its replica, and the services that are active on the primary."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 from pipitledge.scheduling.scheduler import Scheduler
 from pipitledge.wire.messages import View
 
-DISK_PATIENCE_SECONDS = 30.0  # for a disk that refuses to be read at the start
-AGENTS_CLASS = "side"  # of machines that workers stand on
+DISK_OPEN_TIMEOUT_SECONDS = 30.0  # how long reads are retried at startup before the process exits
+AGENT_MACHINE_CLASS = "side"  # machine class of the agents' processes, which run beside workers
 MS_PER_SECOND = 1000.0
-DISK_FAILED = 3  # exit status
+DISK_FAILED = 3  # exit status when the disk can't be opened
 
 
 class OpenDisk:
-    """A disk, and what was found on it."""
+    """The disk of a voting node, with the state recovered from it."""
 
     def __init__(self, core: Core, log: EventLog) -> None:
-        """Open the folder of the settings; a node without one keeps its state in memory."""
+        """Open the data folder named in the settings; without one, state is kept in memory only."""
         folder = core.settings.data_dir
         self.recovered = RecoveredData(fresh=True)
-        self.lost = False  # what was kept can't be read
+        self.lost = False  # the stored state was corrupt and has been discarded
         self._writer: DiskWriter | None = None
         if not folder:
             log.warning("no_disk", node=core.settings.name)
@@ -44,28 +44,28 @@
         store = Store(folder)
         self._recover(store, log)
         self._writer = DiskWriter(
-            store, core.executor.deliver, lambda problem: _log_refusal(log, problem), core.settings.limits.disk_mb
+            store, core.executor.deliver, lambda problem: _log_disk_refusal(log, problem), core.settings.limits.disk_mb
         )
         self.port = self._writer
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the thread that writes to the disk."""
         if self._writer is not None:
             self._writer.start()
 
     def close(self, timeout: float) -> None:
-        """Write what is queued; give up after `timeout` seconds."""
+        """Write the queued data; stop waiting after `timeout` seconds."""
         if self._writer is not None:
             self._writer.close(timeout)
 
     def _recover(self, store: Store, log: EventLog) -> None:
-        """Read what was kept; what can't be read is treated like a lost disk."""
-        recovered = open_store(store, DISK_PATIENCE_SECONDS)
+        """Read the stored state; a corrupt store is formatted and counts as lost, an unusable disk ends the process."""
+        recovered = open_store(store, DISK_OPEN_TIMEOUT_SECONDS)
         if isinstance(recovered, RecoveredData) and recovered.corrupt:
             log.error("disk_corrupt", step="open", reason=recovered.corrupt)
             self.lost = True
             store.format()
-            recovered = open_store(store, DISK_PATIENCE_SECONDS)
+            recovered = open_store(store, DISK_OPEN_TIMEOUT_SECONDS)
         if isinstance(recovered, DiskProblem):
             log.error("disk_unusable", step=recovered.step, reason=recovered.reason)
             sys.exit(DISK_FAILED)
@@ -73,20 +73,20 @@
 
 
 class ControlState:
-    """The replica with its services."""
+    """The replica of a voting node and the disk that it writes to."""
 
     def __init__(self, replica: Replica, disk: OpenDisk) -> None:
-        """Hold the parts together."""
+        """Keep the replica, and the disk to close on shutdown."""
         self.replica = replica
         self._disk = disk
 
     def close_disk(self, timeout: float) -> None:
-        """Write what is queued; give up after `timeout` seconds."""
+        """Write the queued data; stop waiting after `timeout` seconds."""
         self._disk.close(timeout)
 
 
 def build_control_state(core: Core) -> ControlState:
-    """Assemble a counted node's replica, configuration keeper and scheduler."""
+    """Create the replica, configuration keeper and scheduler of a voting node, and start its disk."""
     settings = core.settings
     disk = OpenDisk(core, logs.get("disk"))
     services: list[PrimaryService] = []
@@ -96,7 +96,7 @@
         disk.port,
         disk.recovered,
         random.Random(),
-        core.me,
+        core.own_descriptor,
         settings.bootstrap and not disk.lost,
         Tolerance(settings.tolerance.machines, settings.tolerance.zones, settings.tolerance.regions),
         core.membership,
@@ -115,42 +115,43 @@
         logs.get("scheduler"),
     )
     timings = SchedulerTimings(settings.bounds, settings.heartbeat_ms / MS_PER_SECOND)
-    scheduler = Scheduler(ports, timings, NodeIdentity(settings.name, core.transport.address), lambda: _agents(core))
+    scheduler = Scheduler(
+        ports, timings, NodeIdentity(settings.name, core.transport.address), lambda: _agent_addresses(core)
+    )
     configuration_service.publish_usage(scheduler.usage)
     services += [
         configuration_service,
         scheduler,
-    ]  # the scheduler reads the configuration that the keeper has taken over
-    for plane in (replica, configuration_service, scheduler):
-        plane.register(core.handlers)
+    ]  # in this order: the scheduler reads the configuration that the keeper has loaded
+    for component in (replica, configuration_service, scheduler):
+        component.register(core.handlers)
     core.add_status("replica", replica.status)
-    core.add_status(
-        "configuration", lambda: keeper_section(configuration_service)
-    )  # a data plane has more to tell, if there is one
+    # On nodes with a data plane, its section replaces this one.
+    core.add_status("configuration", lambda: keeper_section(configuration_service))
     core.add_status("queues", lambda: queues_section(scheduler.context, core.membership))
     core.add_status("workers", lambda: workers_section(scheduler.context, core.membership))
     core.add_status("jobs", lambda: jobs_section(scheduler.context, core.membership))
-    _follow_founding(core, replica)
+    _track_bootstrap_state(core, replica)
     disk.start()
     return ControlState(replica, disk)
 
 
-def _follow_founding(core: Core, replica: Replica) -> None:
-    """Let this node's descriptor say whether it still waits for the founding."""
+def _track_bootstrap_state(core: Core, replica: Replica) -> None:
+    """Keep the `bootstrap` flag of this node's descriptor up to date: true until the cluster has been bootstrapped."""
 
     def describe(_view: View | None = None) -> None:
-        _ = replica.view  # takes over a view that membership has heard of
-        core.me.bootstrap = replica.awaits_bootstrap
+        _ = replica.view  # reading it adopts a newer view that membership has received
+        core.own_descriptor.bootstrap = replica.awaits_bootstrap
 
     core.membership.on_view(describe)
     describe()
 
 
-def _agents(core: Core) -> list[str]:
-    """Addresses of the agents that are known."""
-    return [node.address for node in core.membership.nodes() if node.machine_class == AGENTS_CLASS]
+def _agent_addresses(core: Core) -> list[str]:
+    """Return the addresses of the agents in this node's membership view."""
+    return [node.address for node in core.membership.nodes() if node.machine_class == AGENT_MACHINE_CLASS]
 
 
-def _log_refusal(log: EventLog, problem: DiskProblem) -> None:
-    """Tell of a disk that refuses for long; the replica steps aside by itself."""
+def _log_disk_refusal(log: EventLog, problem: DiskProblem) -> None:
+    """Log that the disk has been rejecting writes for long; the replica steps down without this call."""
     log.error("disk_refuses_for_long", step=problem.step, reason=problem.reason)
--- a/pipitledge/programs/fronts.py
+++ b/pipitledge/programs/http_handlers.py
@@ -1,4 +1,4 @@
-"""From HTTP requests to the planes' calls, and back."""
+"""HTTP handlers of a node: they translate requests into calls of its components, and the results into responses."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 MS_PER_SECOND = 1000
 READY = HttpResponse(HTTPStatus.OK, b'{"ready":true}')
-UNREADY = HttpResponse(HTTPStatus.SERVICE_UNAVAILABLE, b'{"ready":false}')
+NOT_READY = HttpResponse(HTTPStatus.SERVICE_UNAVAILABLE, b'{"ready":false}')
 
 
-def client_front(ingress: Ingress) -> HttpHandler:
-    """Clients' calls, at the `frontend` address."""
+def client_handler(ingress: Ingress) -> HttpHandler:
+    """Return the handler of clients' calls, served at the `frontend` address."""
 
     def handle(request: HttpRequest, respond: Respond) -> None:
         def answer(status: int, body: bytes, retry_after_ms: int) -> None:
@@ -30,8 +30,8 @@
     return handle
 
 
-def readiness_front(readiness: Readiness) -> HttpHandler:
-    """The platform's question whether to send new connections, at the `readiness` address."""
+def readiness_handler(readiness: Readiness) -> HttpHandler:
+    """Return the handler of the platform's readiness probe, served at the `readiness` address."""
 
     def handle(request: HttpRequest, respond: Respond) -> None:
         if request.path != READY_PATH:
@@ -39,13 +39,13 @@
         elif request.method not in ("GET", "HEAD"):
             respond(WRONG_METHOD)
         else:
-            respond(READY if readiness.ready() else UNREADY)
+            respond(READY if readiness.ready() else NOT_READY)
 
     return handle
 
 
-def operator_front(control: ControlPlaneApi) -> HttpHandler:
-    """The operator's calls, at a node's `controlPlane` address."""
+def operator_handler(control: ControlPlaneApi) -> HttpHandler:
+    """Return the handler of the operator's calls, served at a node's `controlPlane` address."""
 
     def handle(request: HttpRequest, respond: Respond) -> None:
         def answer(status: int, body: bytes, location: str) -> None:
@@ -57,7 +57,7 @@
 
 
 def _deadline_ms(request: HttpRequest) -> float | None:
-    """How long the client waits; None if it doesn't say so in a way that can be read."""
+    """Return the `x-deadline-ms` header's value, or None if it is missing or not a finite number."""
     try:
         deadline = float(request.headers.get("x-deadline-ms", ""))
     except ValueError:
@@ -66,5 +66,5 @@
 
 
 def _retry_after(milliseconds: int) -> dict[str, str]:
-    """The header that tells when to come back, in whole seconds as HTTP has it."""
+    """Return the Retry-After header, rounded up as HTTP has whole seconds; no header without a delay."""
     return {"Retry-After": str(math.ceil(milliseconds / MS_PER_SECOND))} if milliseconds > 0 else {}
--- a/pipitledge/programs/node.py
+++ b/pipitledge/programs/node.py
@@ -1,4 +1,4 @@
-"""`pipitledge-node`: clients' calls, the operator's calls, and on counted machines the replicated state."""
+"""`pipitledge-node`: serves clients and operators, and on voting nodes holds the replicated state."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 from pipitledge.membership.primary_caller import PrimaryCaller
 from pipitledge.programs.control import ControlState, build_control_state
 from pipitledge.programs.core import Core, prepare_process, wait_for_settings
-from pipitledge.programs.fronts import client_front, operator_front, readiness_front
+from pipitledge.programs.http_handlers import client_handler, operator_handler, readiness_handler
 from pipitledge.programs.node_status import data_plane_section
 from pipitledge.replication.initial_members import register_diskless_seed
 from pipitledge.runtime import logs
 from pipitledge.runtime.http_server import HttpServer, ServerOptions
 
-EDGE, CONTROL_PLANE = "edge", "control_plane"  # in `serves`
-CLIENT_BODY_BYTES = 256 * 1024  # while no configuration says otherwise
-STAY_PART = 0.5  # of the time to end, for which new connections may still come
-LAST_SECONDS = 1.0  # of the time to end, kept for the disk
-LONGEST_ANSWER_SECONDS = MAX_PRIMARY_TIMEOUT_SECONDS + 0.2  # that a call may take until it is answered
+EDGE, CONTROL_PLANE = "edge", "control_plane"  # values of the setting `serves`
+CLIENT_BODY_BYTES = 256 * 1024  # limit unless the configuration sets another one
+ACCEPTING_FRACTION = 0.5  # part of the shutdown grace period during which new connections are still accepted
+DISK_CLOSE_SECONDS = 1.0  # end of the shutdown grace period, reserved for writing to the disk
+MAX_CALL_SECONDS = MAX_PRIMARY_TIMEOUT_SECONDS + 0.2  # longest time until a call is answered
 
 
 class Node:
-    """The planes of one node."""
+    """The components of one node, and their startup and shutdown."""
 
     def __init__(self, core: Core) -> None:
-        """Assemble what the settings ask for."""
+        """Create the components for the roles that the settings give to this node."""
         self._core = core
         settings = core.settings
         self._control: ControlState | None = build_control_state(core) if settings.counted else None
         if self._control is None:
-            register_diskless_seed(core.handlers, core.me.address, settings.bootstrap, core.membership)
+            register_diskless_seed(core.handlers, core.own_descriptor.address, settings.bootstrap, core.membership)
         self._caller = PrimaryCaller(
             core.executor,
             core.transport,
@@ -56,41 +56,42 @@
             self._serve_operator()
 
     def start(self) -> None:
-        """Begin; called under the lock."""
+        """Start the replica and the data plane; called under the lock."""
         if self._control is not None:
             self._control.replica.start()
         if self._data_plane is not None:
             self._data_plane.start()
 
     def end(self, terminated_at: float) -> None:
-        """Leave without losing a call: hand over, answer what still comes, finish what is under way.
+        """Shut down without losing a call: hand over to a backup, then answer all calls within the grace period.
 
-        The platform goes on sending new connections for a while, so they are taken for a part of the time to end.
-        Then none is, and open ones end with their next answer. Calls that come too late to be served in time are
-        answered at once, so that none is under way at the end.
+        The platform keeps sending new connections for a while after SIGTERM, so they are accepted during the first
+        part of the grace period. After that, new connections are refused, and open ones close with their next answer.
+        Requests that arrive too late to be served in time are refused immediately, so that no call is in progress when
+        the process exits.
         """
         core = self._core
-        ends_at = terminated_at + core.settings.bounds.grace_s - LAST_SECONDS
+        shutdown_deadline = terminated_at + core.settings.bounds.grace_s - DISK_CLOSE_SECONDS
         core.drain()
         core.executor.run(self._hand_over, "termination")
-        stays_until = terminated_at + core.settings.bounds.grace_s * STAY_PART
-        time.sleep(max(0.0, stays_until - core.executor.now()))
+        accept_until = terminated_at + core.settings.bounds.grace_s * ACCEPTING_FRACTION
+        time.sleep(max(0.0, accept_until - core.executor.now()))
         core.retire()
-        if not core.wait_until_retired(ends_at - LONGEST_ANSWER_SECONDS, self._relied_on):
+        if not core.wait_until_retired(shutdown_deadline - MAX_CALL_SECONDS, self._needed_by_backups):
             core.refuse()
-            core.wait_until_retired(ends_at, self._relied_on)
+            core.wait_until_retired(shutdown_deadline, self._needed_by_backups)
         if self._control is not None:
-            self._control.close_disk(LAST_SECONDS / 2)
+            self._control.close_disk(DISK_CLOSE_SECONDS / 2)
 
     def _hand_over(self) -> None:
-        """Be unready, and let a backup lead."""
+        """Report this node as not ready, and let a backup take over as primary."""
         if self._ingress is not None:
             self._ingress.stop()
         if self._control is not None:
             self._control.replica.step_down()
 
-    def _relied_on(self) -> bool:
-        """Whether a backup still has to take over what this node alone may hold."""
+    def _needed_by_backups(self) -> bool:
+        """Whether this node is still in the in-sync set, so that no backup may have all of its data yet."""
         control = self._control
         if control is None:
             return False
@@ -99,7 +100,7 @@
         return any(answers)
 
     def _serve_clients(self) -> None:
-        """Take clients' calls, and tell the platform whether to send them."""
+        """Serve clients' calls at the frontend address, and the readiness probe of the platform."""
         core, bind = self._core, self._core.settings.bind
         self._data_plane = DataPlane(
             core.executor, self._caller, core.settings.name, logs.get("data_plane"), core.settings.bounds
@@ -114,20 +115,20 @@
         options = ServerOptions(
             "frontend", threads=4, max_threads=64, body_limit=CLIENT_BODY_BYTES, connections=core.connections
         )
-        frontend = core.serve(bind.frontend, client_front(self._ingress), options)
+        frontend = core.serve(bind.frontend, client_handler(self._ingress), options)
         self._data_plane.on_change(lambda configuration: _apply_limits(frontend, configuration))
         options = ServerOptions("readiness", threads=1, max_threads=2, connections=64)
-        core.serve(bind.readiness, readiness_front(readiness), options)
+        core.serve(bind.readiness, readiness_handler(readiness), options)
 
     def _serve_operator(self) -> None:
-        """Take the operator's calls."""
+        """Serve the operator's calls at the control plane address."""
         core, settings = self._core, self._core.settings
         large_answer_redirects = LargeAnswerRedirects(
             core.membership, settings.name, settings.bind.control_plane, settings.limits.link_mbps
         )
         front = ControlPlaneApi(core.executor, self._caller, logs.get("control"), large_answer_redirects)
         options = ServerOptions("control", threads=1, max_threads=24, body_limit=MAX_BODY_BYTES, connections=256)
-        core.serve(settings.bind.control_plane, operator_front(front), options)
+        core.serve(settings.bind.control_plane, operator_handler(front), options)
 
 
 def main() -> None:
@@ -139,7 +140,7 @@
 
 
 def _apply_limits(frontend: HttpServer, configuration: Configuration) -> None:
-    """Take bodies as long as the configuration says."""
+    """Set the largest request body that the configuration allows."""
     frontend.body_limit = configuration.limits.max_body_bytes or CLIENT_BODY_BYTES
 
 
--- a/pipitledge/programs/node_status.py
+++ b/pipitledge/programs/node_status.py
@@ -1,6 +1,6 @@
-"""What nodes tell operators' tools, section by section: configuration, and where they lead, queues, workers and jobs.
+"""Status sections of nodes for operators' tools: configuration, and on the primary queues, workers and jobs.
 
-Apart from `status`, so that agents need not load the planes that these sections tell of.
+Kept apart from `status`, so that agents need not import the packages that these sections report on.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from pipitledge.configuration.model import Configuration, Route
 from pipitledge.ingress.readiness import Readiness
 from pipitledge.membership.membership import Membership
-from pipitledge.programs.status import LONGEST_LIST, NO_VIEW, Section, bounded
+from pipitledge.programs.status import MAX_LIST_ENTRIES, NO_VIEW, Section, limited_list
 from pipitledge.scheduling.context import Context
 from pipitledge.scheduling.tasks import Job
 from pipitledge.scheduling.workers import Worker
 
 
 def data_plane_section(data_plane: DataPlane, readiness: Readiness) -> Section:
-    """The configuration that this node serves by, and whether it is ready for clients."""
+    """Return the configuration that this node's data plane uses, and whether the node is ready for clients."""
     return {
         **_configuration(data_plane.configuration),
         "ready": readiness.ready(),
@@ -29,14 +29,14 @@
 
 
 def keeper_section(configuration_service: ConfigurationService) -> Section:
-    """The configuration in force, where this node leads."""
+    """Return the committed configuration; its version is None unless this node is the primary."""
     return _configuration(configuration_service.current())
 
 
 def queues_section(context: Context, membership: Membership) -> Section:
-    """Each queue with its jobs and tasks."""
+    """Return the number of jobs, waiting tasks and runs of each queue."""
     if not context.active:
-        return _not_leading(membership)
+        return _not_primary(membership)
     jobs: dict[str, list[Job]] = {}
     for job in context.jobs.values():
         jobs.setdefault(job.route, []).append(job)
@@ -44,28 +44,28 @@
     routes = {route.name: route for route in configuration.routes} if configuration else {}
     names = sorted({*routes, *jobs})
     rows = [_queue_row(context, name, routes.get(name), jobs.get(name, [])) for name in names]
-    return {"leads": True, **bounded("queues", rows)}
+    return {"leads": True, **limited_list("queues", rows)}
 
 
 def workers_section(context: Context, membership: Membership) -> Section:
-    """Each worker with the room that it has left, and how many are in each state."""
+    """Return each worker with its free resources, and the number of workers in each state."""
     if not context.active:
-        return _not_leading(membership)
+        return _not_primary(membership)
     workers = sorted(context.workers.values(), key=lambda worker: (worker.service, worker.node))
     rows = [_worker_row(context, worker) for worker in workers]
     states = dict(Counter(str(row["state"]) for row in rows))
-    return {"leads": True, "states": states, **bounded("workers", rows)}
+    return {"leads": True, "states": states, **limited_list("workers", rows)}
 
 
 def jobs_section(context: Context, membership: Membership) -> Section:
-    """How many jobs there are in each state, and the open ones, the oldest first."""
+    """Return the number of jobs in each state, and the open jobs, oldest first."""
     if not context.active:
-        return _not_leading(membership)
+        return _not_primary(membership)
     counts = Counter(state.name.lower() for state in context.ended_jobs.values())
     still_open = sorted((job for job in context.jobs.values() if job.open), key=lambda job: job.order)
     ended_jobs: Section = {state: counts[state] for state in ("completed", "failed", "cancelled")}
     now = context.clock.now()
-    rows = [_job_row(job, now) for job in still_open[:LONGEST_LIST]]
+    rows = [_job_row(job, now) for job in still_open[:MAX_LIST_ENTRIES]]
     return {"leads": True, "open": len(still_open), **ended_jobs, "jobs": rows}
 
 
@@ -78,13 +78,13 @@
     ]
     return {
         "version": configuration.version,
-        **bounded("routes", routes),
+        **limited_list("routes", routes),
         "services": [service.name for service in configuration.services],
     }
 
 
-def _not_leading(membership: Membership) -> Section:
-    """Only the primary knows; whom to ask instead."""
+def _not_primary(membership: Membership) -> Section:
+    """Return the section of a node that is not the primary: where to find the primary, which has the data."""
     view = membership.view or NO_VIEW
     addresses = {member.name: member.address for member in view.members}
     return {"leads": False, "primary": view.primary, "primaryAddress": addresses.get(view.primary, "")}
@@ -145,10 +145,10 @@
 
 
 def _waiting_tasks(job: Job) -> int:
-    """Tasks that could run now and wait for room."""
+    """Return the number of tasks that are ready to run and wait for free resources."""
     return sum(len(task_group.waiting) for task_group in job.task_groups.values())
 
 
 def _runs(job: Job) -> int:
-    """Runs that hold room on some worker."""
+    """Return the number of runs that occupy resources on a worker."""
     return sum(1 for task in job.tasks() if task.run is not None)
--- a/pipitledge/programs/status.py
+++ b/pipitledge/programs/status.py
@@ -1,4 +1,7 @@
-"""What every process tells operators' tools: who is alive. Lists are bounded, as they are made under the lock."""
+"""Status section of every process for operators' tools: which processes are alive.
+
+The length of lists is limited, as they are built while the process-wide lock is held.
+"""
 
 from __future__ import annotations
 
@@ -7,21 +10,21 @@
 from pipitledge.membership.membership import Membership
 from pipitledge.wire.messages import Member, NodeDescriptor, View
 
-LONGEST_LIST = 200  # entries of a section; the rest is counted
+MAX_LIST_ENTRIES = 200  # for each list of a section; the number of entries left out is reported
 NO_VIEW = View()
 
 Section = dict[str, object]
 
 
-def members_section(me: NodeDescriptor, membership: Membership) -> Section:
-    """All processes that are alive as far as this one knows, and the voting members that are not."""
+def members_section(own_descriptor: NodeDescriptor, membership: Membership) -> Section:
+    """Return the processes in this one's membership view as alive, and voting members missing from it as not alive."""
     view = membership.view or NO_VIEW
-    alive = [me, *membership.nodes()]
+    alive = [own_descriptor, *membership.nodes()]
     names = {node.name for node in alive}
     rows = [_alive_row(node, view) for node in alive]
-    rows += [_silent_row(member, view) for member in view.members if member.name not in names]
+    rows += [_unreachable_row(member, view) for member in view.members if member.name not in names]
     rows.sort(key=lambda row: str(row["name"]))
-    return {"epoch": view.epoch, "primary": view.primary, **bounded("nodes", rows)}
+    return {"epoch": view.epoch, "primary": view.primary, **limited_list("nodes", rows)}
 
 
 def _alive_row(node: NodeDescriptor, view: View) -> Section:
@@ -32,11 +35,11 @@
         "class": node.machine_class,
         "alive": True,
         "counted": node.counted,
-        "part": _part(node.name, view),
+        "part": _view_role(node.name, view),
     }
 
 
-def _silent_row(member: Member, view: View) -> Section:
+def _unreachable_row(member: Member, view: View) -> Section:
     return {
         "name": member.name,
         "address": member.address,
@@ -44,12 +47,12 @@
         "class": "",
         "alive": False,
         "counted": True,
-        "part": _part(member.name, view),
+        "part": _view_role(member.name, view),
     }
 
 
-def _part(name: str, view: View) -> str:
-    """What the view makes of a node."""
+def _view_role(name: str, view: View) -> str:
+    """Return the role that the view gives to a node; empty if the node is not a member."""
     if name == view.primary:
         return "primary"
     if name in view.in_sync:
@@ -57,10 +60,10 @@
     return "behind" if any(member.name == name for member in view.members) else ""
 
 
-def bounded(name: str, rows: Iterable[Section]) -> Section:
-    """The rows, and how many were left out, if any."""
+def limited_list(name: str, rows: Iterable[Section]) -> Section:
+    """Return the first rows under `name`, and the number of rows left out, if any."""
     listed = list(rows)
-    section: Section = {name: listed[:LONGEST_LIST]}
-    if len(listed) > LONGEST_LIST:
-        section[name + "LeftOut"] = len(listed) - LONGEST_LIST
+    section: Section = {name: listed[:MAX_LIST_ENTRIES]}
+    if len(listed) > MAX_LIST_ENTRIES:
+        section[name + "LeftOut"] = len(listed) - MAX_LIST_ENTRIES
     return section
