--- a/benchmarks/rule_mutants.py
+++ b/benchmarks/rule_mutants.py
@@ -32,16 +32,16 @@
     (
         "one attempt too many",
         RECORDS,
-        "len(self.attempts) < min(most, self.most, plan.attempts)",
-        "len(self.attempts) <= min(most, self.most, plan.attempts)",
+        "len(self.attempts) < min(most, self.attempt_limit, plan.attempts)",
+        "len(self.attempts) <= min(most, self.attempt_limit, plan.attempts)",
     ),
     (
         "a refusal though it may have run",
         POLICY,
-        "if harmless or job.maybe_ran() is None:\n            self._refuse",
+        "if harmless or job.possible_run() is None:\n            self._refuse",
         "if True:\n            self._refuse",
     ),
-    ("a held job is never given up", POLICY, "if self.now >= job.held_until]:", "if False]:"),
+    ("a held job is never given up", POLICY, "if self.now >= job.pending_until]:", "if False]:"),
     ("a job sent to a worker that drains", POLICY, "row.state is State.SERVING", "row.state is not State.GONE"),
     ("no budget for a cold worker", POLICY, "self._cold_tokens(worker, cost) >= cost)", "True)"),
 )
--- a/pipitledge/__main__.py
+++ b/pipitledge/__main__.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from pipitledge.decision.policy import Policy
-from pipitledge.decision.settings import unknown
+from pipitledge.decision.settings import unknown_settings
 from pipitledge.net.scheduler import Scheduler
 from pipitledge.net.timers import Clock, Timers
 from pipitledge.node import config
@@ -89,7 +89,7 @@
                 return
             old, told = told, new
             household.adopt(new)
-            tell_unknown(unknown(new.raw.get("settings", {})))
+            tell_unknown(unknown_settings(new.raw.get("settings", {})))
             counters.add("config.reloaded")
             log(
                 "config",
@@ -117,9 +117,9 @@
         if new := [place for place in places if place not in nobody_knows]:
             nobody_knows.update(new)
             counters.add("config.unknown", len(new))
-            log("config", unknown=",".join(new))
+            log("config", unknown_settings=",".join(new))
 
-    tell_unknown(unknown(told.raw.get("settings", {})))
+    tell_unknown(unknown_settings(told.raw.get("settings", {})))
     plans = PlanFile(told, scheduler, clock, counters, log)
     if told.tier is not None:
         from pipitledge.tier import begin
@@ -153,7 +153,7 @@
         log,
         told.discovery,
         told.names,
-        not told.settings.must_ask,
+        not told.settings.must_subscribe,
         told.settings.drain_grace_ms,
     )
     dispatch.links, dispatch.watch = pool, group.watch
--- a/pipitledge/adapter.py
+++ b/pipitledge/adapter.py
@@ -9,7 +9,7 @@
 
 from pipitledge.decision import interface as api
 from pipitledge.decision.policy import Policy
-from pipitledge.decision.settings import REPORTS, STATES, parse_settings
+from pipitledge.decision.settings import REPORT_FIELD_NAMES, STATES, parse_settings
 
 RESULTS = {
     "0": api.Result.OK,
@@ -19,7 +19,7 @@
     "252": api.Result.CONNECT_FAILED,
     "251": api.Result.RESET,
     "250": api.Result.CANCELLED,
-    "249": api.Result.MOOT,
+    "249": api.Result.NOT_SENT,
 }
 LISTINGS = {listing.value: listing for listing in api.Listing}
 Fields = dict[str, str]
@@ -34,7 +34,7 @@
     if not text or text == "-":
         return None
     pairs = (pair.split(":", 1) for pair in text.split(","))
-    return {REPORTS.get(name, name): float(value) for name, value in pairs}
+    return {REPORT_FIELD_NAMES.get(name, name): float(value) for name, value in pairs}
 
 
 def _worker(fields: Fields) -> api.Worker:
@@ -78,7 +78,7 @@
 
 def _note(fields: Fields) -> api.Event:
     fraction = float(fields.get("amount", 0.0)) if fields.get("sort") == "2" else 0.0
-    return api.AttemptNote(fields["ticket"], int(fields.get("trial", 0)), fields["worker"], fraction)
+    return api.AttemptProgress(fields["ticket"], int(fields.get("trial", 0)), fields["worker"], fraction)
 
 
 def _probe_done(fields: Fields) -> api.Event:
--- a/pipitledge/attempts/check.py
+++ b/pipitledge/attempts/check.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, replace
 
 from pipitledge.conf.units import show_ms
-from pipitledge.decision.health import SILENT, SILENT_MS
+from pipitledge.decision.health import SILENCE_FACTOR, SILENCE_MARGIN_MS
 from pipitledge.decision.interface import Repeat, Scope, Settings
 
 MAY_HAVE_RUN = ("reset", "error", "timeout")  # in the order in which examples name them
@@ -56,12 +56,12 @@
 
 
 def _silent_ms(settings: Settings, repeat: Repeat) -> int | None:
-    """The soonest that `Policy._doubt` gives an attempt up for its silence."""
-    if settings.in_order and repeat is not Repeat.UNSAFE:  # one that later sends have passed
-        return int(SILENT_MS)
+    """The soonest that `Policy._check_overdue` gives an attempt up for its silence."""
+    if settings.starts_in_order and repeat is not Repeat.UNSAFE:  # one that later sends have passed
+        return int(SILENCE_MARGIN_MS)
     if not settings.cancel or not settings.progress_ms:
         return None
-    return int(SILENT * settings.progress_ms + SILENT_MS)
+    return int(SILENCE_FACTOR * settings.progress_ms + SILENCE_MARGIN_MS)
 
 
 @dataclass(frozen=True, slots=True)
--- a/pipitledge/decision/interface.py
+++ b/pipitledge/decision/interface.py
@@ -41,12 +41,12 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
 
-SAVED = 0.1  # part of a cold worker's budget of a window that may be saved beyond the next job
-FIRST_LATER = 2  # timer tokens from here on are those of Later
-NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.MOOT})
+SAVED_BUDGET_SHARE = 0.1  # part of a cold worker's budget of a window that may be saved beyond the next job
+FIRST_JOB_TOKEN = 2  # timer tokens from here on are those of Later
+NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT})
 
 
 class State(Enum):
@@ -97,15 +97,15 @@
     quota_per_s: float = 0.0
 
 
-class Goal(NamedTuple):
+class ObjectiveWeights(NamedTuple):
     """How the operator mixes the parts of a result: of the whole worth, the worst class, the worst tenant."""
 
-    whole: float = 1.0
+    total: float = 1.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
 
 
-WHOLE = Goal()
+TOTAL_VALUE_ONLY = ObjectiveWeights()
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,7 +119,7 @@
     zone: int = 0
     instances: int = 1
     number: int = 0
-    must_ask: bool = False
+    must_subscribe: bool = False
     probes: bool = False
     cancel: bool = False
     second_copies: bool = False
@@ -127,18 +127,20 @@
     retry_after: bool = False
     max_retry_after_ms: float = 0.0
     over_share_worth: float = 1.0
-    worth_by_work: bool = False
-    goal: Goal = WHOLE
+    value_by_work: bool = False
+    objective: ObjectiveWeights = TOTAL_VALUE_ONLY
     cross_zone_price: float = 0.0  # points of the goal if every first try crossed zones once
     probe_price: float = 0.0  # if every first try cost one probe
     live_weights: bool = False  # weights in the list are sizes divided by 1 + requests held for each core
     report_fields: tuple[str, ...] = ()
     reports_with_answers: bool = False
     free_slots_field: str = ""
-    memory_counted: bool = False
-    tells_start: bool = False
+    reports_memory: bool = False
+    reports_starts: bool = False
     progress_ms: float = 0.0
-    in_order: bool = False  # workers start jobs in the order in which they come, and tell; attempts can be called off
+    starts_in_order: bool = (
+        False  # workers start jobs in the order in which they come, and tell; attempts can be called off
+    )
     resolution_ms: float = 1.0
     ask_every_ms: float = 10_000.0
     drain_grace_ms: float = 300.0
@@ -182,16 +184,16 @@
             if not (tenant.share >= 0 and tenant.quota_per_s >= 0):
                 raise ValueError(f"tenants[{index}]: share and quota must not be negative")
 
-    def shares(self) -> list[float]:
+    def tenant_shares(self) -> list[float]:
         """The tenants' shares of one whole."""
         whole = sum(tenant.share for tenant in self.tenants) or 1.0
         return [tenant.share / whole for tenant in self.tenants]
 
-    def begin(self, slots: float) -> tuple[list[float], ...]:
+    def initial_estimates(self, slots: float) -> tuple[list[float], ...]:
         """Where what is learned or counted by number begins: tokens in flight and running by tenant; running time
         and that over the hint by class; slots of a worker (where starts or free slots are told, these correct
         what begins wrong) and slowness by kind."""
-        idle, slots = [0.0] * len(self.tenants), slots if self.tells_start or self.free_slots_field else 1.0
+        idle, slots = [0.0] * len(self.tenants), slots if self.reports_starts or self.free_slots_field else 1.0
         return (
             idle,
             idle,
@@ -202,21 +204,21 @@
         )
 
     @property
-    def has_safe(self) -> bool:
+    def has_safe_class(self) -> bool:
         """Whether any class may be repeated freely."""
         return any(job_class.repeat is Repeat.SAFE for job_class in self.classes)
 
     @property
-    def sees_others(self) -> bool:
+    def observes_other_load(self) -> bool:
         """Whether what other nodes have at a worker is shown by its weight or by probes, and by nothing better.
 
         Such sights are seconds old, and of many workers among many nodes there is none: all would fill the same slots.
         Where starts are told, each tells at once whether its worker had room.
         """
-        return (self.live_weights or self.must_probe) and not self.tells_start
+        return (self.live_weights or self.needs_probes) and not self.reports_starts
 
     @property
-    def must_probe(self) -> bool:
+    def needs_probes(self) -> bool:
         """Whether probes are allowed and the only way to hear of free slots."""
         return self.probes and self.free_slots_field != "" and not self.reports_with_answers
 
@@ -224,7 +226,7 @@
 # ---------------------------------------------------------------- plans
 
 
-class Learned(Protocol):
+class AttemptStatistics(Protocol):
     """What a class's plan draws on that changes as jobs run: its retry budget and its times to an answer."""
 
     def arrived(self, now_ms: float) -> None:
@@ -252,9 +254,9 @@
     backoff_ms: tuple[float, float] = (0.0, 0.0)  # from one's end to the next; a range
     copy_ms: float = math.inf  # an attempt out for so long may get a second copy
     copy_share: float = 0.0  # the same, at the time in which this share of attempts served; 0: not by it
-    learned: Learned | None = None
+    learned: AttemptStatistics | None = None
 
-    def wait_ms(self, random: Random) -> float:
+    def draw_backoff_ms(self, random: Random) -> float:
         """Draw a back-off."""
         least, most = self.backoff_ms
         return random.uniform(least, most) if most > 0.0 else 0.0
@@ -297,7 +299,7 @@
     job: str
     job_class: int = 0
     tenant: int = 0
-    patience_ms: float = 0.0
+    timeout_ms: float = 0.0
     slots: float = 1.0
     memory: float = 0.0
     hint_ms: float = 0.0
@@ -306,9 +308,9 @@
     plan: Plan = UNLIMITED
 
     @property
-    def lasts_ms(self) -> float:
+    def time_limit_ms(self) -> float:
         """How long it may take: the client's patience, or less where its plan says so."""
-        return min(self.patience_ms, self.plan.total_ms)
+        return min(self.timeout_ms, self.plan.total_ms)
 
 
 class AttemptEnded(NamedTuple):
@@ -323,7 +325,7 @@
     report: Mapping[str, float] | None = None
 
 
-class AttemptNote(NamedTuple):
+class AttemptProgress(NamedTuple):
     """An attempt started (fraction 0) or came so far."""
 
     job: str
@@ -359,11 +361,11 @@
     settings: Settings
 
 
-class Inherited(NamedTuple):
+class EstimatesRestored(NamedTuple):
     """What another process of this scheduler has learned; the list has been told before."""
 
-    by_number: tuple[list[float], list[float], list[float], list[float]]  # run_ms, per_hint, slots, kind_slowness
-    figures: tuple[float, float, float]  # spill, fleet_failures, dead
+    by_index: tuple[list[float], list[float], list[float], list[float]]  # run_ms, per_hint, slots, kind_slowness
+    scalars: tuple[float, float, float]  # spill, fleet_failures, dead
     workers: Mapping[str, Mapping[str, float]]
 
 
@@ -371,12 +373,12 @@
     WorkersChanged
     | JobArrived
     | AttemptEnded
-    | AttemptNote
+    | AttemptProgress
     | ClientGone
     | ProbeEnded
     | TimerFired
     | SettingsChanged
-    | Inherited
+    | EstimatesRestored
 )
 
 
@@ -458,22 +460,22 @@
     zone: int
     serving: bool
     slowness: float = 0.0  # log of running time over what such jobs take
-    warm: float = 1.0  # part of its full capacity that it has by now at the least
-    part: float = 0.0  # our part of it
-    place: int = -1  # its index among the workers with room in our part
-    slots_out: float = 0.0  # slots and memory of our attempts
-    memory_out: float = 0.0
-    started_ms: float = -math.inf  # when the last sent of those that have started there was sent
+    warmth: float = 1.0  # part of its full capacity that it has by now at the least
+    own_share: float = 0.0  # our part of it
+    pool_index: int = -1  # its index among the workers with room in our part
+    slots_in_use: float = 0.0  # slots and memory of our attempts
+    memory_in_use: float = 0.0
+    latest_started_send_ms: float = -math.inf  # when the last sent of those that have started there was sent
     others: float = 0.0  # slots that others hold there, as far as weights or reports show
     seen_ms: float = -math.inf  # when that was shown last
-    lagged: float = 0.0  # slots_out as it was about when what is shown now was so
-    lagged_ms: float = 0.0  # when that was reckoned; 0: not yet
+    delayed_slots_in_use: float = 0.0  # slots_out as it was about when what is shown now was so
+    delayed_updated_ms: float = 0.0  # when that was reckoned; 0: not yet
     probed_ms: float = -math.inf  # when it was last asked how it is
     free: float = 0.0  # free slots by the last report, less what we sent since
     queued: float = 0.0  # jobs waiting there by the last report
     reported_ms: float = -math.inf
     full_until: float = -math.inf
-    aside_until: float = -math.inf
+    ejected_until: float = -math.inf
     failures: float = 0.0  # recent share of outcomes that are failures
     trial: bool = False
     trials_failed: int = 0
@@ -481,7 +483,7 @@
     cold_ms: float = -math.inf  # when these were counted
     tried: bool = False  # a job was sent to it since it started
 
-    LEARNED = (
+    LEARNED_FIELDS = (
         "slowness",
         "free",
         "queued",
@@ -495,50 +497,52 @@
         "seen_ms",
     )
 
-    def pace(self) -> float:
+    def speed(self) -> float:
         """How much faster than jobs are expected to run: under 1 where it is slow."""
         return math.exp(-self.slowness)
 
-    def inherit(self, learned: Mapping[str, float]) -> None:
+    def restore(self, learned: Mapping[str, float]) -> None:
         """Take what another process has learned of this worker since it started."""
-        for name in self.LEARNED:
+        for name in self.LEARNED_FIELDS:
             if name in learned:
                 setattr(self, name, type(getattr(self, name))(learned[name]))
-        self.lagged_ms = 0.0  # what was learned fades from now on
+        self.delayed_updated_ms = 0.0  # what was learned fades from now on
 
-    def accrue(self, rate: float, window_ms: float, cost: float, random: Random, now_ms: float) -> float:
+    def accrue_cold_tokens(self, rate: float, window_ms: float, cost: float, random: Random, now_ms: float) -> float:
         """Count the cold budget on to now and return it: slot-ms, at `rate` a millisecond."""
         if self.cold_ms < 0.0:  # slivers that accrue in step would all send at one moment
             self.cold_tokens, self.cold_ms = -random.random() * cost, self.row.started_ms
         self.cold_tokens += rate * (now_ms - self.cold_ms)
         self.cold_ms = now_ms
-        self.cold_tokens = min(self.cold_tokens, cost + SAVED * rate * window_ms)  # saved up it would be a burst
+        self.cold_tokens = min(
+            self.cold_tokens, cost + SAVED_BUDGET_SHARE * rate * window_ms
+        )  # saved up it would be a burst
         return self.cold_tokens
 
-    def book(self, slots: float, memory: float) -> None:
+    def add_usage(self, slots: float, memory: float) -> None:
         """Count an attempt's slots and memory, or take them off again where negative."""
         self.tried |= slots > 0
-        self.slots_out += slots
-        self.memory_out += memory
+        self.slots_in_use += slots
+        self.memory_in_use += memory
         self.free -= max(0.0, slots)  # a report to come tells of those that ended
 
 
 class Pool(list[WorkerRecord]):
     """Workers in a list that can be sampled, entered and left at constant cost."""
 
-    def enter(self, worker: WorkerRecord) -> None:
+    def add(self, worker: WorkerRecord) -> None:
         """Add a worker that may be in already."""
-        if worker.place < 0:
-            worker.place = len(self)
+        if worker.pool_index < 0:
+            worker.pool_index = len(self)
             self.append(worker)
 
-    def leave(self, worker: WorkerRecord) -> None:
+    def discard(self, worker: WorkerRecord) -> None:
         """Take out a worker that may be out already; the last one takes its place."""
-        if worker.place >= 0:
+        if worker.pool_index >= 0:
             last = self.pop()
             if last is not worker:
-                self[worker.place], last.place = last, worker.place
-            worker.place = -1
+                self[worker.pool_index], last.pool_index = last, worker.pool_index
+            worker.pool_index = -1
 
 
 @dataclass(slots=True, eq=False)
@@ -548,11 +552,11 @@
     worker: WorkerRecord
     sent_ms: float
     spilled: bool  # went beyond our own part
-    heard_ms: float  # its last sign of life
+    last_heard_ms: float  # its last sign of life
     started_ms: float = 0.0
-    share: float = 0.0  # done by its last note
+    progress: float = 0.0  # done by its last note
     overdue: bool = False
-    freed: float = 0.0  # part of its slots that counts as free, as it is overdue and may be dead
+    released: float = 0.0  # part of its slots that counts as free, as it is overdue and may be dead
     cancelled: bool = False
     result: Result | None = None
 
@@ -565,24 +569,24 @@
     cls: JobClass
     tenant: int
     size_ms: float  # expected running time
-    wait_ms: float  # time it may wait and still be in time
-    born_ms: float  # when the client first asked
-    useful_ms: float  # from here on starting it earns nothing
-    most: int = 1 << 30  # sends that the settings allowed when it came
+    slack_ms: float  # time it may wait and still be in time
+    first_request_ms: float  # when the client first asked
+    latest_start_ms: float  # from here on starting it earns nothing
+    attempt_limit: int = 1 << 30  # sends that the settings allowed when it came
     attempts: list[AttemptRecord] = field(default_factory=list)
-    out: int = 0  # attempts without an outcome
-    freed: float = 0.0  # tokens given back early, as an attempt of it is overdue
+    outstanding: int = 0  # attempts without an outcome
+    released_slots: float = 0.0  # tokens given back early, as an attempt of it is overdue
     open: bool = True  # its final answer is still owed
-    held: bool = False
-    held_until: float = math.inf  # where it is held: given up if it was not sent by then
+    pending: bool = False
+    pending_until: float = math.inf  # where it is held: given up if it was not sent by then
 
     def may_send(self, most: int, at_ms: float) -> bool:
         """Whether its plan lets it be sent once more at that time, and that can still earn something."""
         plan = self.event.plan
         return (
-            len(self.attempts) < min(most, self.most, plan.attempts)
-            and at_ms < self.useful_ms
-            and all(a.result in (None, Result.MOOT) or a.result in plan.retry_on for a in self.attempts)
+            len(self.attempts) < min(most, self.attempt_limit, plan.attempts)
+            and at_ms < self.latest_start_ms
+            and all(a.result in (None, Result.NOT_SENT) or a.result in plan.retry_on for a in self.attempts)
             and (plan.learned is None or not self.attempts or plan.learned.spend(at_ms))
         )
 
@@ -590,11 +594,11 @@
         """Whether settings and plan let a second copy go out beside what is out."""
         return settings.second_copies and self.may_send(settings.max_attempts, at_ms)
 
-    def is_out_at(self, worker: WorkerRecord) -> bool:
+    def runs_on(self, worker: WorkerRecord) -> bool:
         """Whether an attempt of it is out at this worker: a copy belongs elsewhere."""
-        return self.out > 0 and any(a.worker is worker and a.result is None for a in self.attempts)
+        return self.outstanding > 0 and any(a.worker is worker and a.result is None for a in self.attempts)
 
-    def maybe_ran(self) -> AttemptRecord | None:
+    def possible_run(self) -> AttemptRecord | None:
         """The first attempt that is still out or may have run."""
         return next((attempt for attempt in self.attempts if attempt.result not in NEVER_RAN), None)
 
@@ -602,7 +606,7 @@
 class Jobs(dict[str, JobRecord]):
     """The jobs that are open or still have attempts out, by id."""
 
-    def attempt(self, event: AttemptEnded | AttemptNote) -> tuple[JobRecord, AttemptRecord] | None:
+    def find_attempt(self, event: AttemptEnded | AttemptProgress) -> tuple[JobRecord, AttemptRecord] | None:
         """The records an event names; none where it comes late, twice or for nothing of ours."""
         job = self.get(event.job)
         if job is None or not 0 <= event.attempt < len(job.attempts):
@@ -610,60 +614,62 @@
         attempt = job.attempts[event.attempt]
         return None if attempt.result is not None else (job, attempt)
 
-    def stranded(self) -> list[Withdraw]:
+    def withdrawals(self) -> list[Withdraw]:
         """Attempts out at workers that must get nothing new: what has not gone out yet is to be taken back."""
-        return [Withdraw(job.event.job, number) for job, number, attempt in self.out() if not attempt.worker.serving]
+        return [
+            Withdraw(job.event.job, number) for job, number, attempt in self.outstanding() if not attempt.worker.serving
+        ]
 
-    def out(self) -> Iterator[tuple[JobRecord, int, AttemptRecord]]:
+    def outstanding(self) -> Iterator[tuple[JobRecord, int, AttemptRecord]]:
         """All attempts without an outcome, with their jobs and numbers."""
         for job in self.values():
-            for number, attempt in enumerate(job.attempts if job.out else ()):
+            for number, attempt in enumerate(job.attempts if job.outstanding else ()):
                 if attempt.result is None:
                     yield job, number, attempt
 
 
-class Later(dict[int, tuple[JobRecord, tuple[int, int]]]):
+class JobTimers(dict[int, tuple[JobRecord, tuple[int, int]]]):
     """Jobs that a timer is to bring up again: a back-off that ends, or an attempt due a second copy.
 
     A timer can't be taken back. One counts only if since then nothing was sent for its job and nothing of it
     ended: a copy's timer must neither end the back-off that came after it nor copy the attempt after that.
     """
 
-    def put(self, job: JobRecord, delay_ms: float) -> SetTimer:
+    def schedule(self, job: JobRecord, delay_ms: float) -> SetTimer:
         """Bring a job up again after so long."""
-        token = FIRST_LATER + self.count
+        token = FIRST_JOB_TOKEN + self.count
         self.count += 1
         if not self.count % 256:  # timers of jobs that are over need not fire
             for over in [known for known, (of_job, _) in self.items() if not of_job.open]:
                 del self[over]
-        self[token] = job, (len(job.attempts), job.out)
+        self[token] = job, (len(job.attempts), job.outstanding)
         return SetTimer(delay_ms, token, job.event.job)
 
     def take(self, token: int) -> JobRecord | None:
         """The job whose timer this is, if it is still open and as it was."""
         job, state = self.pop(token, (None, (0, 0)))
-        return job if job is not None and job.open and (len(job.attempts), job.out) == state else None
+        return job if job is not None and job.open and (len(job.attempts), job.outstanding) == state else None
 
     count = 0
 
 
-class Held(dict[tuple[int, int], deque[JobRecord]]):
+class PendingJobs(dict[tuple[int, int], deque[JobRecord]]):
     """Waiting jobs: a queue for each tenant and class that has any."""
 
-    def put(self, job: JobRecord, first: bool, now_ms: float) -> float:
+    def enqueue(self, job: JobRecord, first: bool, now_ms: float) -> float:
         """Let a job wait, at the head or the end of its queue; until when it may is returned."""
-        job.held_until = min(job.useful_ms, now_ms + job.event.plan.hold_ms)
+        job.pending_until = min(job.latest_start_ms, now_ms + job.event.plan.hold_ms)
         queue = self.setdefault((job.tenant, job.event.job_class), deque())
         (queue.appendleft if first else queue.append)(job)
-        job.held = True
-        return job.held_until
+        job.pending = True
+        return job.pending_until
 
-    def take(self, job: JobRecord) -> None:
+    def remove(self, job: JobRecord) -> None:
         """Take a job out, if it waits."""
-        if job.held:
+        if job.pending:
             key = (job.tenant, job.event.job_class)
             self[key].remove(job)
-            job.held = False
+            job.pending = False
             if not self[key]:
                 del self[key]
 
--- a/pipitledge/decision/settings.py
+++ b/pipitledge/decision/settings.py
@@ -11,7 +11,7 @@
 REPEATS = {"free": api.Repeat.SAFE, "guarded": api.Repeat.KEYED, "single_shot": api.Repeat.UNSAFE}
 STATES = {"in_service": api.State.SERVING, "terminating": api.State.DRAINING, "terminated": api.State.GONE}
 # What load reports call their values, on the simulator's wire and on the sockets, and the module's own names.
-REPORTS = {
+REPORT_FIELD_NAMES = {
     "rif": "inflight",
     "q": "queued",
     "queue": "queued",
@@ -27,7 +27,7 @@
 
 # Every setting the platform's pages name, by its place; docs/design/deployments.md tells who reads it. Those that
 # nobody reads are here too: they are known to be of no use to a node, which is not the same as unknown.
-KNOWN: dict[str, frozenset[str]] = {
+KNOWN_KEYS: dict[str, frozenset[str]] = {
     place: frozenset(names.split())
     for place, names in {
         "": "n_instances lanes clients discovery service_type specifics goal shapes permissions my_number "
@@ -45,7 +45,7 @@
         "realms[]": "name quota_per_s share",
     }.items()
 }
-VALUES = {
+ALLOWED_VALUES = {
     "discovery": ("ask", "push"),
     "weights": ("none", "nominal", "rough", "live"),
     "value_by": ("request", "work"),
@@ -54,21 +54,21 @@
 }
 
 
-def unknown(raw: Mapping[str, Any]) -> list[str]:
+def unknown_settings(raw: Mapping[str, Any]) -> list[str]:
     """Places of settings that no page names, and of values that are none of those a page names, each once."""
     found = list[str]()
 
     def look(place: str, part: Any) -> None:
-        if isinstance(part, Mapping) and place in KNOWN:
+        if isinstance(part, Mapping) and place in KNOWN_KEYS:
             for name, value in part.items():
                 where = f"{place}.{name}" if place else str(name)
-                if name not in KNOWN[place]:
+                if name not in KNOWN_KEYS[place]:
                     found.append(where)
-                elif where in VALUES and value not in VALUES[where]:
+                elif where in ALLOWED_VALUES and value not in ALLOWED_VALUES[where]:
                     found.append(f"{where}={str(value)[:40]}")
                 else:
                     look(where, value)
-        elif isinstance(part, list) and f"{place}[]" in KNOWN:
+        elif isinstance(part, list) and f"{place}[]" in KNOWN_KEYS:
             for entry in part:
                 look(f"{place}[]", entry)
 
@@ -120,7 +120,8 @@
         zone=raw.get("zone", 0),
         instances=raw.get("n_instances", 1),
         number=raw.get("my_number", 0),
-        must_ask=raw.get("discovery") != "push",  # unknown or not told: asking, with its back-off, works with both
+        must_subscribe=raw.get("discovery")
+        != "push",  # unknown or not told: asking, with its back-off, works with both
         probes=bool(allow.get("probes")),
         cancel=bool(allow.get("cancel")),
         second_copies=bool(allow.get("second_copies")),
@@ -128,18 +129,20 @@
         retry_after=bool(allow.get("retry_after")),
         max_retry_after_ms=allow.get("max_retry_after_ms", 0.0),
         over_share_worth=raw.get("over_share_worth", 1.0),
-        worth_by_work=raw.get("value_by") == "work",
-        goal=api.Goal(goal.get("whole", 1.0), goal.get("worst_class", 0.0), goal.get("worst_tenant", 0.0)),
+        value_by_work=raw.get("value_by") == "work",
+        objective=api.ObjectiveWeights(
+            goal.get("whole", 1.0), goal.get("worst_class", 0.0), goal.get("worst_tenant", 0.0)
+        ),
         cross_zone_price=prices.get("cross_zone", 0.0),
         probe_price=prices.get("probe", 0.0),
         live_weights=raw.get("weights") == "live",
-        report_fields=tuple(REPORTS.get(name, name) for name in fields),
+        report_fields=tuple(REPORT_FIELD_NAMES.get(name, name) for name in fields),
         reports_with_answers=source == "answers",
         free_slots_field=free[0] if free else "",
-        memory_counted="x1" in fields,
-        tells_start=bool(family.get("tells_start")),
+        reports_memory="x1" in fields,
+        reports_starts=bool(family.get("tells_start")),
         progress_ms=family.get("progress_ms", 0.0),
-        in_order=family.get("queue_order") == "fifo" and bool(family.get("tells_start") and allow.get("cancel")),
+        starts_in_order=family.get("queue_order") == "fifo" and bool(family.get("tells_start") and allow.get("cancel")),
         resolution_ms=raw.get("resolution_ms", 1.0),
         ask_every_ms=rules.get("ask_every_ms", 10_000.0),
         drain_grace_ms=rules.get("drain_grace_ms", 300.0),
--- a/pipitledge/decision/shares.py
+++ b/pipitledge/decision/shares.py
@@ -13,34 +13,34 @@
 from pipitledge.decision.interface import Settings, WorkerRecord
 
 
-def warmth(worker: WorkerRecord, settings: Settings, now_ms: float) -> float:
+def warmth_at(worker: WorkerRecord, settings: Settings, now_ms: float) -> float:
     """The least part of its capacity that a worker has by now."""
     age = (now_ms - (worker.row.started_ms or -1e15)) / max(1.0, settings.cold_ms)  # 0: long past
     return min(1.0, max(0.01, settings.cold_share + (1.0 - settings.cold_share) * age))
 
 
-def share_out(ring: Sequence[WorkerRecord], settings: Settings, now_ms: float) -> list[WorkerRecord]:
+def assign_shares(ring: Sequence[WorkerRecord], settings: Settings, now_ms: float) -> list[WorkerRecord]:
     """Set warmth and our part of each worker of the ring, and return those that we have a part of."""
     zones = {worker.zone for worker in ring}
     near = [worker for worker in ring if worker.zone == settings.zone]
     zoned = settings.cross_zone_price > 0.0 and len(zones) > 1 and bool(near)
     mine = list[WorkerRecord]()
     for worker in ring:
-        worker.warm, worker.part = warmth(worker, settings, now_ms), 0.0
+        worker.warmth, worker.own_share = warmth_at(worker, settings, now_ms), 0.0
     among = near if zoned else ring
     share = min(1.0, (len(zones) if zoned else 1) / settings.instances)
-    whole = sum([worker.warm for worker in among])
+    whole = sum([worker.warmth for worker in among])
     low, end = settings.number * share % 1.0 * whole if share < 1.0 else 0.0, 0.0
     for worker in among:
-        start, end = end, end + worker.warm
+        start, end = end, end + worker.warmth
         for begin in (low, low - whole) if zoned else (low,):  # an arc over the end goes on at the beginning
             if end > begin and start < begin + share * whole:
-                worker.part += (min(end, begin + share * whole) - max(start, begin)) / worker.warm
-        if worker.part > 0.0:
+                worker.own_share += (min(end, begin + share * whole) - max(start, begin)) / worker.warmth
+        if worker.own_share > 0.0:
             mine.append(worker)
     return mine
 
 
-def taken(worker: WorkerRecord, slots: float) -> float:
+def used_by_others(worker: WorkerRecord, slots: float) -> float:
     """Slots of a worker that others hold beyond their own part of it."""
-    return max(0.0, worker.others - (1.0 - worker.part) * slots if worker.part else worker.others)
+    return max(0.0, worker.others - (1.0 - worker.own_share) * slots if worker.own_share else worker.others)
--- a/pipitledge/emulator/print_day.py
+++ b/pipitledge/emulator/print_day.py
@@ -23,7 +23,7 @@
 SETTINGS = Settings(
     classes=(JobClass(deadline_ms=20_000.0, objective_ms=8_000.0, stretch=2.0),),
     max_attempts=5,
-    tells_start=True,
+    reports_starts=True,
     cancel=False,
     retry_after=True,
     max_retry_after_ms=2_000.0,
@@ -208,7 +208,7 @@
                 "served" if isinstance(answer, Served) else "refused" if isinstance(answer, Throttle) else "failed"
             )
 
-        self.dispatch.take(JobArrived(name, patience_ms=20_000.0), None, heard)
+        self.dispatch.take(JobArrived(name, timeout_ms=20_000.0), None, heard)
 
     def submissions(self, count: int, per_s: float) -> None:
         """So many, at random times."""
--- a/pipitledge/emulator/tier_day.py
+++ b/pipitledge/emulator/tier_day.py
@@ -57,7 +57,7 @@
     def handle(self, now_ms: float, events: Sequence[api.Event]) -> list[api.Action]:
         """Send what comes; send again only what never ran."""
         self.now, self.actions = now_ms, []
-        if self.settings.must_ask and not self.asked:
+        if self.settings.must_subscribe and not self.asked:
             self.asked = True
             self.actions.append(api.Subscribe())
         for event in events:
@@ -88,7 +88,7 @@
         log: Any = lambda event, **fields: None  # noqa: E731
         self.dispatch = Dispatch(clock, day.timers, brain, day.counters, log)  # type: ignore[arg-type]
         self.dispatch.links = self
-        self.follows = not settings.must_ask
+        self.follows = not settings.must_subscribe
         self.dispatch.watch = lambda: day.at(ASKED_MS, self._answered)
 
     def _answered(self) -> None:
@@ -198,7 +198,7 @@
 
     def hear(self, worker: Worker, said: Said) -> None:
         """A line reaches the node, if the settings promise it."""
-        told = {"started": self.settings.tells_start, "running": self.settings.progress_ms > 0.0}
+        told = {"started": self.settings.reports_starts, "running": self.settings.progress_ms > 0.0}
         if told.get(said.state, said.state in ENDS):
             super().hear(worker, said)
 
--- a/pipitledge/ipp/node.py
+++ b/pipitledge/ipp/node.py
@@ -37,7 +37,7 @@
     return Settings(
         classes=(JobClass(deadline_ms=PATIENCE_MS, objective_ms=PATIENCE_MS * 0.4, stretch=2.0),),
         max_attempts=5,
-        tells_start=True,
+        reports_starts=True,
         retry_after=True,
         max_retry_after_ms=2_000.0,
         cold_ms=cold_ms,
--- a/pipitledge/node/dispatch.py
+++ b/pipitledge/node/dispatch.py
@@ -128,8 +128,8 @@
         if arrival.job in self.queries or arrival.job in self.elsewhere:
             return None
         query = Query(arrival, passage, reply, most=self.policy.settings.max_attempts)
-        early = min(EARLY_MS, EARLY_SHARE * arrival.lasts_ms)
-        query.deadline_ms = min(self.clock.now() + arrival.lasts_ms - early, self.end_by_ms)
+        early = min(EARLY_MS, EARLY_SHARE * arrival.time_limit_ms)
+        query.deadline_ms = min(self.clock.now() + arrival.time_limit_ms - early, self.end_by_ms)
         if arrival.plan.learned is not None:
             arrival.plan.learned.arrived(self.clock.now())
         query.overdue = self.timers.at(query.deadline_ms + OVERDUE_MS, lambda: self._overdue(query))
@@ -196,7 +196,7 @@
         if not execution.ended:
             execution.noted = True
             self.events.append(
-                api.AttemptNote(execution.query.arrival.job, execution.number, execution.worker, fraction)
+                api.AttemptProgress(execution.query.arrival.job, execution.number, execution.worker, fraction)
             )
 
     def probed(self, worker: str, ending: Ending, elapsed_ms: float, report: Mapping[str, float] | None = None) -> None:
@@ -251,7 +251,7 @@
         query, now = self.queries.get(action.job), self.clock.now()
         if query is None:  # can't be while queries outlive the round; the module is told even so
             self.log("fault", where="send", query=action.job)
-            self.events.append(api.AttemptEnded(action.job, 0, action.worker, api.Result.MOOT, 0.0, True))
+            self.events.append(api.AttemptEnded(action.job, 0, action.worker, api.Result.NOT_SENT, 0.0, True))
             return
         deadline = min(query.deadline_ms, now + action.timeout_ms) if action.timeout_ms else query.deadline_ms
         execution = Execution(query, query.sends, action.worker, now, deadline)
--- a/pipitledge/node/server_link.py
+++ b/pipitledge/node/server_link.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pipitledge.decision.settings import REPORTS
+from pipitledge.decision.settings import REPORT_FIELD_NAMES
 from pipitledge.http1.heads import BadMessage
 from pipitledge.http1.worker_side import WorkerSide, request_parts
 from pipitledge.net.scheduler import Scheduler, Task, Wake
@@ -54,7 +54,7 @@
     """Read a load report, from a JSON object, under the module's names; None where there is none to read."""
     if not isinstance(raw, Mapping):
         return None
-    values = {REPORTS.get(str(name), str(name)): value for name, value in raw.items()}
+    values = {REPORT_FIELD_NAMES.get(str(name), str(name)): value for name, value in raw.items()}
     return {
         name: float(value) for name, value in values.items() if isinstance(value, (int, float)) and math.isfinite(value)
     } or None
--- a/pipitledge/upgrade/household.py
+++ b/pipitledge/upgrade/household.py
@@ -71,7 +71,7 @@
             self.peers.membership = self._membership()
         self._put_in_force()
         self.front.names, self.front.settings = names, told.settings
-        self.group.adopt(names, not told.settings.must_ask, told.settings.drain_grace_ms)
+        self.group.adopt(names, not told.settings.must_subscribe, told.settings.drain_grace_ms)
         self.pool.allow(told.dial_timeout_ms, told.idle_ms)
         self.share_out()
         self.group.move(told.discovery)
--- a/pipitledge/upgrade/knowledge.py
+++ b/pipitledge/upgrade/knowledge.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from pipitledge.decision.interface import Inherited, WorkerRecord
+from pipitledge.decision.interface import EstimatesRestored, WorkerRecord
 from pipitledge.decision.policy import Policy
 from pipitledge.node.settings_file import Numbers
 
@@ -21,12 +21,13 @@
         for what in whats
     }
     workers = {
-        name: {what: getattr(worker, what) for what in WorkerRecord.LEARNED} for name, worker in policy.workers.items()
+        name: {what: getattr(worker, what) for what in WorkerRecord.LEARNED_FIELDS}
+        for name, worker in policy.workers.items()
     }
     return by_name | {what: getattr(policy, what) for what in FIGURES} | {"workers": workers}
 
 
-def inherited(raw: Mapping[str, Any], numbers: Numbers, policy: Policy) -> Inherited | None:
+def inherited(raw: Mapping[str, Any], numbers: Numbers, policy: Policy) -> EstimatesRestored | None:
     """Read it for a module that has learned nothing yet; None where it can't be read: then it begins anew."""
     try:
         by_number = []
@@ -39,9 +40,9 @@
         run_ms, per_hint, slots, slowness = by_number
         spill, failures, dead = (float(raw[what]) for what in FIGURES)
         workers = {
-            str(name): {what: float(value) for what, value in told.items() if what in WorkerRecord.LEARNED}
+            str(name): {what: float(value) for what, value in told.items() if what in WorkerRecord.LEARNED_FIELDS}
             for name, told in raw["workers"].items()
         }
     except (KeyError, TypeError, ValueError, AttributeError, IndexError):
         return None
-    return Inherited((run_ms, per_hint, slots, slowness), (spill, failures, dead), workers)
+    return EstimatesRestored((run_ms, per_hint, slots, slowness), (spill, failures, dead), workers)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -79,7 +79,7 @@
 
     def tick(self, after_ms: float = 0.0) -> list[Action]:
         """The module's own timer fires, whenever it was due."""
-        self.policy.tick_ms = 0.0
+        self.policy.next_tick_ms = 0.0
         return self.tell(TimerFired(0), after_ms=after_ms)
 
     def sends(self, count: int, **fields: Any) -> list[Send]:
@@ -87,7 +87,7 @@
         return [send for _ in range(count) for send in of(self.job(f"s{len(self.did)}", **fields), Send)]
 
     def job(self, name: str, **fields: Any) -> list[Action]:
-        return self.tell(JobArrived(name, **({"patience_ms": 5_000.0} | fields)))
+        return self.tell(JobArrived(name, **({"timeout_ms": 5_000.0} | fields)))
 
     def end(
         self,
--- a/tests/test_attempts_run.py
+++ b/tests/test_attempts_run.py
@@ -117,9 +117,9 @@
 def test_a_hold_time_out_ends_the_wait_and_the_client_hears() -> None:
     d = driver()
     jobs = [d.job(f"j{n}", job_class=MENU, plan=plan(hold_ms=30.0)) for n in range(60)]
-    assert len(d.policy.held) and any(not of(actions, Send) for actions in jobs)
-    heard = d.tell(TimerFired(module.TICK), after_ms=40.0)
-    assert of(heard, Refuse) and not d.policy.held
+    assert len(d.policy.pending) and any(not of(actions, Send) for actions in jobs)
+    heard = d.tell(TimerFired(module.TICK_TOKEN), after_ms=40.0)
+    assert of(heard, Refuse) and not d.policy.pending
 
 
 def test_the_budget_bounds_attempts_beyond_first_tries() -> None:
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -13,7 +13,7 @@
 from allpairspy import AllPairs
 from node_helper import ROOT, STATED, Node, told
 
-from pipitledge.decision.settings import KNOWN, unknown
+from pipitledge.decision.settings import KNOWN_KEYS, unknown_settings
 from pipitledge.emulator import matrix
 from pipitledge.emulator.tier_day import Plain
 from pipitledge.node import config
@@ -63,7 +63,7 @@
 
 
 def test_settings_that_no_page_names_are_found_by_their_place_and_the_others_are_not() -> None:
-    assert unknown(matrix.stated(CELLS[0])) == []
+    assert unknown_settings(matrix.stated(CELLS[0])) == []
     odd = {
         "lanes": [{"name": "a", "colour": 1}, {"name": "b", "colour": 2}],
         "rules": {"newer": 1},
@@ -72,7 +72,13 @@
         "further": {"anything": []},
         "report": {"source": "push"},
     }
-    assert unknown(odd) == ["discovery=gossip", "further", "lanes[].colour", "report.source=push", "rules.newer"]
+    assert unknown_settings(odd) == [
+        "discovery=gossip",
+        "further",
+        "lanes[].colour",
+        "report.source=push",
+        "rules.newer",
+    ]
 
 
 def test_a_node_says_once_what_nobody_knows_and_serves(tmp_path: pathlib.Path) -> None:
@@ -119,7 +125,7 @@
 
 def test_the_page_on_deployments_names_every_setting_that_is_known() -> None:
     page = (ROOT / "docs" / "design" / "deployments.md").read_text()
-    for place, names in KNOWN.items():
+    for place, names in KNOWN_KEYS.items():
         for name in names:
             setting = f"{place}.{name}" if place else name
             assert (
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -15,7 +15,7 @@
     JobArrived,
     JobClass,
     JobRecord,
-    Later,
+    JobTimers,
     Refuse,
     Result,
     Send,
@@ -57,7 +57,7 @@
     rig.settle()
     assert [execution.number for execution in rig.held.started] == [0, 1, 2]  # type: ignore[attr-defined]
     [moot] = rig.script.of(AttemptEnded)  # one more than max_attempts
-    assert (moot.attempt, moot.result, moot.closed) == (3, Result.MOOT, False)
+    assert (moot.attempt, moot.result, moot.closed) == (3, Result.NOT_SENT, False)
 
 
 def test_the_first_served_answers_and_the_others_still_have_their_outcome(rig: Rig) -> None:
@@ -93,7 +93,7 @@
     )
     rig.query("a")
     rig.settle()
-    assert [e.result for e in rig.script.of(AttemptEnded)] == [Result.MOOT] and not rig.dispatch.queries
+    assert [e.result for e in rig.script.of(AttemptEnded)] == [Result.NOT_SENT] and not rig.dispatch.queries
 
 
 def test_a_query_that_the_module_loses_is_failed_in_time(rig: Rig) -> None:
@@ -148,12 +148,12 @@
 
 
 def test_the_modules_own_timers_do_not_pile_up() -> None:
-    later = Later()
+    timers = JobTimers()
     for number in range(1_000):
         job = JobRecord(JobArrived(f"j{number}"), JobClass(), 0, 1.0, 1.0, 0.0, 1.0)
-        assert later.put(job, 1.0).job == job.event.job
+        assert timers.schedule(job, 1.0).job == job.event.job
         job.open = False
-    assert len(later) <= 256
+    assert len(timers) <= 256
 
 
 def test_after_an_overload_counters_show_by_tenant_who_was_taken_refused_served_and_why_one_failed(rig: Rig) -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -51,7 +51,7 @@
 
 
 def test_a_node_left_alone_places_on_the_whole_fleet_at_once() -> None:
-    rules = module_settings(instances=2, number=0, tells_start=True)
+    rules = module_settings(instances=2, number=0, reports_starts=True)
     half, alone = (Driver(rules, workers=8) for _ in range(2))
     alone.tell(SettingsChanged(settings_among(rules, (0,))))
     sent = [
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,10 +8,10 @@
 import pytest
 from helpers import SAFE, UNSAFE, Driver, keyed, of, settings
 
+import pipitledge.decision.free_slots as free_slots_module
 import pipitledge.decision.policy as policy_module
-import pipitledge.decision.room as room_module
 from pipitledge.decision.interface import (
-    AttemptNote,
+    AttemptProgress,
     Cancel,
     ClientGone,
     Fail,
@@ -79,7 +79,7 @@
     driver.end(send, result, closed=True)  # a repeated outcome
     driver.tell(ClientGone("a"))
     assert driver.policy.inflight == [0.0, 0.0] == driver.policy.running
-    assert not driver.policy.jobs and not driver.policy.held
+    assert not driver.policy.jobs and not driver.policy.pending
 
 
 def test_a_job_told_twice_takes_its_tokens_once() -> None:
@@ -111,7 +111,7 @@
 
 def test_without_workers_a_held_job_is_refused_before_its_time_is_up() -> None:
     driver = Driver(workers=0)
-    driver.job("a", patience_ms=300.0)
+    driver.job("a", timeout_ms=300.0)
     while driver.now < 1_299 and not of(driver.did, Refuse):
         driver.tell(TimerFired(0), after_ms=1)
     assert of(driver.did, Refuse) == [Refuse("a")]
@@ -120,7 +120,7 @@
 def test_a_held_job_gets_a_timer_before_its_patience_ends() -> None:
     driver = Driver(workers=0)
     driver.tell(TimerFired(0), after_ms=1)
-    actions = driver.job("a", patience_ms=30.0)
+    actions = driver.job("a", timeout_ms=30.0)
     assert min(timer.delay_ms for timer in of(actions, SetTimer)) < 30
 
 
@@ -189,7 +189,7 @@
 
 def test_a_time_out_at_the_deadline_is_answered_at_once() -> None:
     driver = Driver()
-    [send] = of(driver.job("a", patience_ms=400.0), Send)
+    [send] = of(driver.job("a", timeout_ms=400.0), Send)
     assert of(driver.end(send, Result.TIMEOUT, after_ms=400), Refuse)
 
 
@@ -223,13 +223,13 @@
     [send] = of(driver.job("a", job_class=1), Send)  # not sent again
     driver.list([Worker("w0", started_ms=driver.now)], Listing.DELTA)
     driver.end(send, Result.RESET)
-    assert driver.policy.workers["w0"].slots_out == 0
+    assert driver.policy.workers["w0"].slots_in_use == 0
 
 
 def test_schedulers_ask_for_the_list_at_different_times_and_again_after_a_failure() -> None:
     delays = set()
     for number in range(20):
-        driver = Driver(settings(must_ask=True, instances=20, number=number), workers=0, seed=number)
+        driver = Driver(settings(must_subscribe=True, instances=20, number=number), workers=0, seed=number)
         first = next(timer for timer in of(driver.tell(), SetTimer) if timer.token == 1)
         delays.add(round(first.delay_ms))
         assert of(driver.tell(TimerFired(1)), Subscribe)
@@ -244,7 +244,7 @@
 @pytest.mark.parametrize("instances, most_ms", [(2, 2_250.0), (20, 12_000.0)])
 def test_after_many_failed_calls_a_small_tier_still_asks_soon(instances: int, most_ms: float) -> None:
     """News counts as told after 6 s: a drain that is heard of later breaks a rule."""
-    driver = Driver(settings(must_ask=True, instances=instances, number=0), workers=0)
+    driver = Driver(settings(must_subscribe=True, instances=instances, number=0), workers=0)
     told = [driver.tell(WorkersChanged(Listing.FAILED)) for _ in range(200)]
     waits = [timer.delay_ms for actions in told for timer in of(actions, SetTimer) if timer.token == 1]
     assert len(waits) > 200 and max(waits) <= most_ms < 1.1 * max(waits)
@@ -265,7 +265,7 @@
     rows = [Worker(f"w{index}", started_ms=900.0 * (index % 3 == 0)) for index in range(11)]
     made = drivers(count, rows)
     for row in rows:
-        parts = [driver.policy.workers[row.id].part for driver in made]
+        parts = [driver.policy.workers[row.id].own_share for driver in made]
         assert sum(parts) == pytest.approx(1.0)
 
 
@@ -358,7 +358,7 @@
     for index in range(300):
         for send in of(driver.job(f"a{index}"), Send):
             driver.end(send, Result.ERROR, after_ms=10, closed=True)
-    assert len(driver.policy.aside) <= 3
+    assert len(driver.policy.ejected) <= 3
 
 
 @pytest.mark.parametrize(
@@ -382,10 +382,10 @@
 def test_the_choice_is_a_sample_not_a_scan() -> None:
     driver = Driver(workers=400)
     seen = []
-    room = driver.policy._room
-    driver.policy._room = lambda *a: (seen.append(1), room(*a))[1]  # type: ignore[method-assign]
+    room = driver.policy._free_slots
+    driver.policy._free_slots = lambda *a: (seen.append(1), room(*a))[1]  # type: ignore[method-assign]
     driver.job("a")
-    assert len(seen) <= 2 * policy_module.SAMPLE + 2
+    assert len(seen) <= 2 * policy_module.SAMPLE_SIZE + 2
 
 
 def test_same_events_same_actions() -> None:
@@ -459,7 +459,7 @@
     late = JobClass(deadline_ms=50_000, objective_ms=500, late_share=0.3, repeat=SAFE.repeat)
     driver = overloaded(late, late)
     driver.now += 5_000
-    driver.job("fresh", patience_ms=50_000)
+    driver.job("fresh", timeout_ms=50_000)
     assert "fresh" in driver.policy.jobs
 
 
@@ -475,7 +475,7 @@
     driver.list([Worker("cold", started_ms=driver.now)])
     driver.policy.slots[0] = 8.0
     driver.now += 2_000
-    assert of(driver.job("a", patience_ms=60_000.0), Send)
+    assert of(driver.job("a", timeout_ms=60_000.0), Send)
 
 
 def test_the_spill_falls_where_there_was_no_room_and_grows_where_there_was() -> None:
@@ -491,7 +491,7 @@
 
 def four_out(known: float, **changes: Any) -> tuple[Driver, list[Send]]:
     """Four jobs sent to one worker, which is then believed to have so many slots."""
-    driver = Driver(settings(tells_start=True, **changes), workers=1)
+    driver = Driver(settings(reports_starts=True, **changes), workers=1)
     driver.policy.slots[:], sends = [8.0], []
     for index in range(4):
         driver.now += 1.0
@@ -504,11 +504,11 @@
     """A worker under load reports a slot or two free; believed to have no more, it stood half idle."""
     driver, sends = four_out(1.0)
     for send in sends:
-        driver.tell(AttemptNote(send.job, 0, send.worker))
-    driver.policy.tick_ms = 0.0
+        driver.tell(AttemptProgress(send.job, 0, send.worker))
+    driver.policy.next_tick_ms = 0.0
     driver.tell(TimerFired(0), after_ms=5)  # a start may overtake the end of the job before it
     assert driver.policy.slots == [1.0]
-    driver.policy.tick_ms = 0.0
+    driver.policy.next_tick_ms = 0.0
     driver.tell(TimerFired(0), after_ms=20)
     assert driver.policy.slots == [4.0]
     for send in sends:
@@ -525,8 +525,8 @@
     """Not one that was overtaken: its connection is silent. And not among several nodes: others' jobs run."""
     driver, sends = four_out(8.0, instances=instances)
     for number in started:
-        driver.tell(AttemptNote(sends[number].job, 0, sends[number].worker), after_ms=1)
-    driver.policy.tick_ms = 0.0
+        driver.tell(AttemptProgress(sends[number].job, 0, sends[number].worker), after_ms=1)
+    driver.policy.next_tick_ms = 0.0
     driver.tell(TimerFired(0), after_ms=50)
     assert driver.policy.slots == [pytest.approx(8.0 - 0.1 * 5.0 if lower else 8.0)]
 
@@ -534,29 +534,29 @@
 @pytest.mark.parametrize("after_ms, free", [(1.0, 2.0), (200.0, 0.0)])
 def test_elsewhere_a_start_at_once_tells_of_more_room_and_a_late_one_of_none(after_ms: float, free: float) -> None:
     """Reports are a second old when they come: a node left alone refused while the others' workers idled."""
-    driver = Driver(settings(instances=9, number=0, tells_start=True), workers=9)
+    driver = Driver(settings(instances=9, number=0, reports_starts=True), workers=9)
     sends = [send for index in range(9) for send in of(driver.job(f"a{index}"), Send)]
     send = next(send for send in sends if driver.policy.jobs[send.job].attempts[0].spilled)
-    driver.tell(AttemptNote(send.job, 0, send.worker), after_ms=after_ms)
+    driver.tell(AttemptProgress(send.job, 0, send.worker), after_ms=after_ms)
     worker = driver.policy.workers[send.worker]
     assert (worker.free, worker.reported_ms) == (free, driver.now)
 
 
 def test_what_a_late_report_shows_free_does_not_all_go_to_one_worker_elsewhere() -> None:
-    driver = Driver(settings(instances=9, number=0, tells_start=True), workers=9)
-    worker = next(worker for worker in driver.policy.ring if not worker.part)
-    worker.free, worker.slots_out, worker.reported_ms = 10.0, 5.0, driver.now
+    driver = Driver(settings(instances=9, number=0, reports_starts=True), workers=9)
+    worker = next(worker for worker in driver.policy.ring if not worker.own_share)
+    worker.free, worker.slots_in_use, worker.reported_ms = 10.0, 5.0, driver.now
     driver.policy.now = driver.now
-    assert driver.policy._room(worker, own=False) == 4.0 + room_module.BEYOND - 5.0
+    assert driver.policy._free_slots(worker, own=False) == 4.0 + free_slots_module.EXTRA_SLOTS - 5.0
 
 
 def silent(dead: float, **changes: float) -> tuple[Driver, Send]:
     """A job that started 10 ms after its send and has said nothing since, on a worker with one slot."""
-    driver = Driver(settings(tells_start=True, progress_ms=2_000.0, cancel=True), workers=1)
+    driver = Driver(settings(reports_starts=True, progress_ms=2_000.0, cancel=True), workers=1)
     driver.policy.run_ms[:], driver.policy.dead, driver.policy.spill = [100.0, 100.0], dead, 0.0
     driver.policy.slots[:] = [1.0]
     [send] = of(driver.job("silent"), Send)
-    driver.tell(AttemptNote("silent", 0, "w0"), after_ms=10)
+    driver.tell(AttemptProgress("silent", 0, "w0"), after_ms=10)
     return driver, send
 
 
@@ -578,14 +578,14 @@
 
 def test_an_attempt_without_a_sign_of_life_is_given_up_once() -> None:
     driver, send = silent(0.0)
-    driver.tell(AttemptNote("silent", 0, "w0", 0.5), after_ms=2_000)  # long, but alive
+    driver.tell(AttemptProgress("silent", 0, "w0", 0.5), after_ms=2_000)  # long, but alive
     for _ in range(22):
         assert not of(driver.tell(TimerFired(0), after_ms=100), Cancel)
-    driver.policy.tick_ms = 0.0
+    driver.policy.next_tick_ms = 0.0
     assert of(driver.tell(TimerFired(0), after_ms=300), Cancel) == [Cancel("silent", 0)]
     assert not of(driver.tell(TimerFired(0), after_ms=300), Cancel)
     driver.end(send, Result.CANCELLED)
-    assert driver.policy.dead == pytest.approx(0.1) and not driver.policy.workers["w0"].slots_out
+    assert driver.policy.dead == pytest.approx(0.1) and not driver.policy.workers["w0"].slots_in_use
 
 
 def test_a_worker_that_is_cut_off_is_set_aside_before_its_attempts_have_ended() -> None:
@@ -631,41 +631,43 @@
     """Held jobs past their time once waited on while events came faster than the tick's least delay."""
     driver = Driver(settings(resolution_ms=4.0), workers=1)
     flood(driver, 0, 12)
-    useful, due = min(job.useful_ms for job in driver.policy.held.jobs()), list[float]()
+    useful, due = min(job.latest_start_ms for job in driver.policy.pending.jobs()), list[float]()
     driver.now = useful - 1.0
     due += [driver.now + action.delay_ms for action in of(driver.tell(TimerFired(0)), SetTimer)]
     for count in range(40):  # every millisecond something happens; a timer fires when it is due
-        actions = driver.job(f"x{count}", patience_ms=1.0)
+        actions = driver.job(f"x{count}", timeout_ms=1.0)
         driver.now += 1.0
         if any(time <= driver.now for time in due):
             actions += driver.tell(TimerFired(0))
         due = [time for time in due if time > driver.now]
         due += [driver.now + action.delay_ms for action in of(actions, SetTimer)]
-    assert not [job for job in driver.policy.held.jobs() if job.useful_ms < driver.now - 8.0]
+    assert not [job for job in driver.policy.pending.jobs() if job.latest_start_ms < driver.now - 8.0]
 
 
 @pytest.mark.parametrize("job_class, cancels", [(0, True), (1, False)])
 def test_a_job_that_later_ones_have_passed_is_dead_where_jobs_start_in_order(job_class: int, cancels: bool) -> None:
     """Most connections that fall silent do so before the start: their jobs held a slot for 2.4 s and were late."""
 
-    def driver_of(in_order: bool) -> tuple[Driver, Send]:
-        driver = Driver(settings(tells_start=True, cancel=True, progress_ms=2_000.0, in_order=in_order), workers=1)
+    def driver_of(starts_in_order: bool) -> tuple[Driver, Send]:
+        driver = Driver(
+            settings(reports_starts=True, cancel=True, progress_ms=2_000.0, starts_in_order=starts_in_order), workers=1
+        )
         [silent] = of(driver.job("silent", job_class=job_class), Send)
         for number in range(3):
-            [send] = of(driver.tell(JobArrived(f"j{number}", patience_ms=5_000.0), after_ms=60.0), Send)
-            driver.tell(AttemptNote(send.job, 0, send.worker), after_ms=2.0)
+            [send] = of(driver.tell(JobArrived(f"j{number}", timeout_ms=5_000.0), after_ms=60.0), Send)
+            driver.tell(AttemptProgress(send.job, 0, send.worker), after_ms=2.0)
             driver.end(send, after_ms=60.0)
         return driver, silent
 
-    for in_order in (True, False):
-        driver, silent = driver_of(in_order)
+    for starts_in_order in (True, False):
+        driver, silent = driver_of(starts_in_order)
         worker = driver.policy.workers[silent.worker]
-        assert worker.slots_out == 1
+        assert worker.slots_in_use == 1
         did = driver.tell(TimerFired(0), after_ms=200.0)
-        assert (Cancel("silent", 0) in did) == (cancels and in_order)
-        assert worker.slots_out == (0 if in_order else 1)
+        assert (Cancel("silent", 0) in did) == (cancels and starts_in_order)
+        assert worker.slots_in_use == (0 if starts_in_order else 1)
     driver, silent = driver_of(True)
-    driver.tell(AttemptNote("silent", 0, silent.worker))  # late, but it lives
+    driver.tell(AttemptProgress("silent", 0, silent.worker))  # late, but it lives
     assert not of(driver.tell(TimerFired(0), after_ms=300.0), Cancel)
 
 
@@ -709,5 +711,5 @@
     [send] = of(driver.job("a", job_class=1, plan=Plan(retry_on=retry_on)), Send)
     did = driver.list([Worker(send.worker, State.DRAINING)], Listing.DELTA)
     assert of(did, Withdraw) == [Withdraw("a", 0)]
-    [again] = of(driver.end(send, Result.MOOT), Send)
+    [again] = of(driver.end(send, Result.NOT_SENT), Send)
     assert again.worker != send.worker
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -10,7 +10,7 @@
 from pipitledge.decision.interface import (
     NEVER_RAN,
     AttemptEnded,
-    AttemptNote,
+    AttemptProgress,
     ClientGone,
     Fail,
     JobArrived,
@@ -124,7 +124,7 @@
         instances=instances,
         number=instances // 2,
         max_attempts=attempts,
-        tells_start=True,
+        reports_starts=True,
         progress_ms=50.0,
         cancel=True,
     )
@@ -153,7 +153,7 @@
             checked.tell(WorkersChanged(Listing.DELTA, (row._replace(state=state),)))
         elif step == "n" and checked.outstanding():
             job, index = checked.outstanding()[a % len(checked.outstanding())]
-            checked.tell(AttemptNote(job, index, checked.sends[job][index][0], b / 8.0))
+            checked.tell(AttemptProgress(job, index, checked.sends[job][index][0], b / 8.0))
         elif step == "r":
             checked.tell(AttemptEnded(f"j{a}", b, "nobody", Result.OK, 1.0, True))  # for nothing of ours
         for _ in range(a // 20 if step == "t" else 0):
@@ -161,8 +161,10 @@
             checked.overdue()
         policy = checked.driver.policy
         assert min(policy.inflight) >= 0 and min(policy.running) >= 0
-        assert sum(policy.inflight) == sum(job.event.slots - job.freed for job in policy.jobs.values() if job.open)
-        assert all(worker.slots_out >= 0 for worker in policy.workers.values())
+        assert sum(policy.inflight) == sum(
+            job.event.slots - job.released_slots for job in policy.jobs.values() if job.open
+        )
+        assert all(worker.slots_in_use >= 0 for worker in policy.workers.values())
         assert {job.event.job for job in policy.jobs.values() if job.open} == set(checked.open)
     while checked.open:
         checked.tell(TimerFired(0), after_ms=1.0)
@@ -170,8 +172,8 @@
     policy = checked.driver.policy
     while checked.outstanding():
         checked.end(0, 0)
-    assert sum(policy.inflight) == sum(policy.running) == policy.spill_out == 0 and not policy.jobs
-    assert all(worker.slots_out == 0 for worker in policy.workers.values())
+    assert sum(policy.inflight) == sum(policy.running) == policy.spill_in_use == 0 and not policy.jobs
+    assert all(worker.slots_in_use == 0 for worker in policy.workers.values())
 
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=60)
@@ -201,7 +203,7 @@
         for at, send in [(at, send) for at, send in running if at <= driver.now]:
             running.remove((at, send))
             driver.end(send, Result.OK, after_ms=0.0)
-        for send in of(driver.job(f"j{number}", patience_ms=2_000.0), Send):
+        for send in of(driver.job(f"j{number}", timeout_ms=2_000.0), Send):
             running.append((driver.now + run_ms, send))
             if send.worker == "cold":
                 sent.append(driver.now)
