--- a/pipitledge/decision/__init__.py
+++ b/pipitledge/decision/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a dispatcher: no I/O, no clock."""
+"""The decision logic of the dispatcher: no I/O, no clock of its own."""
--- a/pipitledge/decision/admission.py
+++ b/pipitledge/decision/admission.py
@@ -1,8 +1,8 @@
-"""Admission of one job by four steps: limit, reservation, shared remainder, refusal. No I/O, no dependencies.
+"""Admission control for one job in four steps: limit, reservation, shared remainder, refusal. No I/O, no dependencies.
 
-Each queue (a tenant, say) has a limit and a reservation over its slots in flight. What no reservation covers is the
-shared remainder. A queue borrows from it with what it uses beyond its reservation, so a reservation that is not used
-stays free for its queue. All quantities are in slots.
+Each queue (for example a tenant) has a limit and a reservation for its slots in flight. The capacity that no
+reservation covers is the shared remainder. A queue borrows from the remainder for its usage beyond its reservation, so
+an unused reservation stays available to its own queue. All quantities are in slots.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Decision(enum.Enum):
-    """What the four steps say, and which of them said it."""
+    """The result of admission control, and the step that decided."""
 
     OVER_LIMIT = "over the queue's limit"
     WITHIN_RESERVATION = "within the queue's reservation"
@@ -24,12 +24,12 @@
 
     @property
     def admitted(self) -> bool:
-        """Whether the job is let in."""
+        """Whether the job is admitted."""
         return self is Decision.WITHIN_RESERVATION or self is Decision.FROM_REMAINDER
 
 
 class QueueUsage(NamedTuple):
-    """What one queue uses and may use, in slots."""
+    """Usage, limit and reservation of one queue, in slots."""
 
     inflight: float
     limit: float
@@ -37,7 +37,7 @@
 
 
 def admit(weight: float, queue: Key, usages: Mapping[Key, QueueUsage], capacity: float) -> Decision:
-    """Decide on a job of `weight` slots for `queue`; `usages` names all queues that share `capacity`."""
+    """Decide on a job of `weight` slots for `queue`; `usages` holds all queues that share `capacity`."""
     own = usages[queue]
     wanted = own.inflight + weight
     if wanted > own.limit:
--- a/pipitledge/decision/free_slots.py
+++ b/pipitledge/decision/free_slots.py
@@ -1,4 +1,4 @@
-"""How many slots a worker has free for jobs of ours, and what a cold one may be sent. No I/O, no decisions."""
+"""Free slots of a worker for this node's jobs, and the budget of work for a cold worker. No I/O, no decisions."""
 
 from __future__ import annotations
 
@@ -8,39 +8,44 @@
 from pipitledge.decision.interface import Settings, WorkerRecord
 from pipitledge.decision.shares import used_by_others
 
-REPORT_FRESH_MS, EXTRA_SLOTS = 300.0, 2.0  # what was last heard of room elsewhere counts for so long; slots beyond ours
-OVERCOMMIT, OVERCOMMIT_ELSEWHERE = (
-    0.2,
-    0.05,
-)  # parts of its slots sent beyond them to a worker where others' jobs are only seen
-COLD_SAFETY_SHARE, COLD_JOB_SHARE = 0.5, 0.12  # parts of the cold budget: of sizes we only guess
+# Outside the own share: how long a report of free slots is used, and how many slots beyond the estimated ones a worker
+# may be sent.
+REPORT_FRESH_MS, EXTRA_SLOTS = 300.0, 2.0
+# Shares of a worker's slots by which it is overcommitted where the load of other nodes is only observed: within the own
+# share, and outside of it.
+OVERCOMMIT, OVERCOMMIT_ELSEWHERE = 0.2, 0.05
+# Job sizes are estimates: share of the cold budget that is used at all, and largest share that one job may take.
+COLD_SAFETY_SHARE, COLD_JOB_SHARE = 0.5, 0.12
 
 
 def in_own_share(worker: WorkerRecord, slots: float, settings: Settings) -> float:
-    """Slots free in our part of a worker that has so many in all, by our own count."""
+    """Return the free slots in the own share of a worker with `slots` in all, from this node's own bookkeeping."""
     free = round(max(1.0, worker.own_share * slots)) - worker.slots_in_use
     return free - used_by_others(worker, slots) + OVERCOMMIT * slots if settings.observes_other_load else free
 
 
 def elsewhere(worker: WorkerRecord, slots: float, settings: Settings, now_ms: float) -> float:
-    """Slots free beyond our part, by the last sight or report less our sends; infinite where it may be tried."""
+    """Return the free slots outside the own share: last observation or report, less slots sent since.
+
+    Infinite where nothing recent is known and no job of this node is there: the worker may be tried.
+    """
     if settings.observes_other_load and worker.seen_ms > 0.0:
         return slots * (1.0 + OVERCOMMIT_ELSEWHERE) - worker.slots_in_use - used_by_others(worker, slots)
     fresh = now_ms - worker.reported_ms < REPORT_FRESH_MS
     if not worker.slots_in_use and not fresh:
         return math.inf
     free = worker.free if fresh else 0.5 * slots + 0.5 - worker.slots_in_use
-    # A report is a second old when it comes: all that it shows free would go there over and over.
+    # A report is about a second old on arrival. Without the limit, several nodes would fill the same free slots again.
     return min(free, slots + EXTRA_SLOTS - worker.slots_in_use) if settings.instances > 1 else free
 
 
 def cold_tokens(
     worker: WorkerRecord, slots: float, cost: float, settings: Settings, random: Random, now_ms: float
 ) -> float:
-    """Slot-ms we may send a cold worker now: our part of what all together may, accrued in fractions."""
-    whole = settings.overload_factor * slots * worker.warmth
-    if cost > COLD_JOB_SHARE * whole * settings.fall_ms:
-        return 0.0  # a few of such jobs, from as many nodes at once, are a burst by themselves
+    """Return the slot-ms that may be sent to a cold worker now: the own share of its budget, accrued over time."""
+    rate = settings.overload_factor * slots * worker.warmth
+    if cost > COLD_JOB_SHARE * rate * settings.fall_ms:
+        return 0.0  # a few jobs of this size, sent by several nodes at once, would overload the worker
     return worker.accrue_cold_tokens(
-        COLD_SAFETY_SHARE * whole * worker.own_share, settings.fall_ms, cost, random, now_ms
+        COLD_SAFETY_SHARE * rate * worker.own_share, settings.fall_ms, cost, random, now_ms
     )
