--- a/benchmarks/rule_mutants.py
+++ b/benchmarks/rule_mutants.py
@@ -28,12 +28,12 @@
         "return True",
     ),
     ("a keyed job outside its zone", POLICY, "return worker.zone == first.worker.zone", "return True"),
-    ("a keyed job after its window", POLICY, "return False  # the workers may have forgotten it", "pass"),
+    ("a keyed job after its window", POLICY, "return False  # the workers may have dropped its key", "pass"),
     (
         "one attempt too many",
         RECORDS,
-        "len(self.attempts) < min(most, self.attempt_limit, plan.attempts)",
-        "len(self.attempts) <= min(most, self.attempt_limit, plan.attempts)",
+        "len(self.attempts) < min(max_attempts, self.attempt_limit, plan.attempts)",
+        "len(self.attempts) <= min(max_attempts, self.attempt_limit, plan.attempts)",
     ),
     (
         "a refusal though it may have run",
@@ -41,7 +41,7 @@
         "if harmless or job.possible_run() is None:\n            self._refuse",
         "if True:\n            self._refuse",
     ),
-    ("a held job is never given up", POLICY, "if self.now >= job.pending_until]:", "if False]:"),
+    ("a pending job never expires", POLICY, "if self.now >= job.pending_until]:", "if False]:"),
     ("a job sent to a worker that drains", POLICY, "row.state is State.SERVING", "row.state is not State.GONE"),
     ("no budget for a cold worker", POLICY, "self._cold_tokens(worker, cost) >= cost)", "True)"),
 )
--- a/pipitledge/decision/interface.py
+++ b/pipitledge/decision/interface.py
@@ -1,7 +1,7 @@
-"""Settings, events and actions of the dispatch policy: everything that crosses its border.
+"""Interface of the dispatch policy: its settings, events and actions, and the records that it keeps.
 
-All times are milliseconds on the caller's monotonic clock. Classes, tenants, zones and machine kinds
-are named by their index in the settings; workers and jobs by opaque strings.
+All times are milliseconds on the caller's monotonic clock. Job classes, tenants, zones and machine kinds are identified
+by their index in the settings, workers and jobs by opaque strings.
 """
 
 from __future__ import annotations
@@ -16,7 +16,11 @@
 
 
 class Repeat(Enum):
-    """How often a job of a class may take effect."""
+    """Whether a job of a class may be repeated once it may have run.
+
+    SAFE: freely. KEYED: within the scope and time window in which workers drop duplicates by the job's key. UNSAFE: not
+    at all.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -24,7 +28,7 @@
 
 
 class Scope(Enum):
-    """Which workers drop the repeats of a keyed job."""
+    """Which workers share the deduplication of a keyed job."""
 
     ALL = "all"
     ZONE = "zone"
@@ -32,7 +36,11 @@
 
 
 class Result(Enum):
-    """How an attempt or a probe ended. FULL, CONNECT_FAILED and MOOT prove that it never ran."""
+    """How an attempt or a probe ended.
+
+    FULL, CONNECT_FAILED and NOT_SENT prove that an attempt never ran. NOT_SENT: the request did not leave this node
+    completely, for example because it was withdrawn.
+    """
 
     OK = "ok"
     ERROR = "error"
@@ -44,13 +52,13 @@
     NOT_SENT = "moot"
 
 
-SAVED_BUDGET_SHARE = 0.1  # part of a cold worker's budget of a window that may be saved beyond the next job
-FIRST_JOB_TOKEN = 2  # timer tokens from here on are those of Later
+SAVED_BUDGET_SHARE = 0.1  # share of a cold worker's budget per window that may be saved up beyond the next job
+FIRST_JOB_TOKEN = 2  # timer tokens from here on belong to JobTimers
 NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT})
 
 
 class State(Enum):
-    """What the list says of a worker."""
+    """State of a worker in the worker list."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -58,7 +66,10 @@
 
 
 class Listing(Enum):
-    """What kind of list event this is."""
+    """Kind of an update of the worker list.
+
+    FULL and CACHED replace the whole list, DELTA changes the rows it names, FAILED reports an unsuccessful request.
+    """
 
     DELTA = "delta"
     FULL = "full"
@@ -71,34 +82,34 @@
 
 @dataclass(frozen=True, slots=True)
 class JobClass:
-    """One class of job. A job is in time within objective + stretch times its own work.
+    """One class of jobs. A job is in time if it ends within objective_ms + stretch * its own work.
 
-    Its effect (repeat, scope, window) binds a job up to its final answer as it was when the job came, also where the
-    settings give the class another one meanwhile: that holds for jobs that come from then on.
+    The repeat rule (repeat, scope, window_ms) in force when a job arrives applies to it until its final answer, even if
+    new settings change the class meanwhile. Changes apply to jobs that arrive later.
     """
 
     deadline_ms: float = 10_000.0
     objective_ms: float = 1_000.0
     stretch: float = 0.0
-    late_share: float = 0.0
-    worth: float = 1.0
+    late_share: float = 0.0  # share of its value that a job earns when it is late
+    worth: float = 1.0  # value of a job served in time
     repeat: Repeat = Repeat.UNSAFE
     scope: Scope = Scope.CELL
     window_ms: float = 0.0
-    kind: int = -1
+    kind: int = -1  # machine kind that can run it; -1: any
     priority: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant: its share of the service, and the jobs a second that count as within it (0: unknown)."""
+    """One tenant: its share of the service, and the jobs per second that count as within its quota (0: unknown)."""
 
     share: float = 1.0
     quota_per_s: float = 0.0
 
 
 class ObjectiveWeights(NamedTuple):
-    """How the operator mixes the parts of a result: of the whole worth, the worst class, the worst tenant."""
+    """Weights of the operator's objective: total value, worst-served class, worst-served tenant."""
 
     total: float = 1.0
     worst_class: float = 0.0
@@ -110,16 +121,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What the operator states at start. Defaults are the careful choice where a key is absent."""
+    """The operator's settings. Defaults are the cautious choice for absent keys."""
 
     classes: tuple[JobClass, ...]
     tenants: tuple[Tenant, ...] = (Tenant(),)
     kinds: int = 1
     zones: int = 1
     zone: int = 0
-    instances: int = 1
-    number: int = 0
-    must_subscribe: bool = False
+    instances: int = 1  # scheduler nodes in all
+    number: int = 0  # index of this node among them
+    must_subscribe: bool = False  # the worker list comes only on request
     probes: bool = False
     cancel: bool = False
     second_copies: bool = False
@@ -129,18 +140,16 @@
     over_share_worth: float = 1.0
     value_by_work: bool = False
     objective: ObjectiveWeights = TOTAL_VALUE_ONLY
-    cross_zone_price: float = 0.0  # points of the goal if every first try crossed zones once
-    probe_price: float = 0.0  # if every first try cost one probe
-    live_weights: bool = False  # weights in the list are sizes divided by 1 + requests held for each core
+    cross_zone_price: float = 0.0  # loss of the objective if every first try crossed zones once
+    probe_price: float = 0.0  # loss of the objective if every first try cost one probe
+    live_weights: bool = False  # weights in the list are sizes divided by (1 + requests in progress per core)
     report_fields: tuple[str, ...] = ()
     reports_with_answers: bool = False
-    free_slots_field: str = ""
+    free_slots_field: str = ""  # field of load reports that holds the free slots; empty: none
     reports_memory: bool = False
     reports_starts: bool = False
-    progress_ms: float = 0.0
-    starts_in_order: bool = (
-        False  # workers start jobs in the order in which they come, and tell; attempts can be called off
-    )
+    progress_ms: float = 0.0  # interval of progress reports; 0: none
+    starts_in_order: bool = False  # workers start jobs in order of arrival and report starts; attempts can be cancelled
     resolution_ms: float = 1.0
     ask_every_ms: float = 10_000.0
     drain_grace_ms: float = 300.0
@@ -150,7 +159,7 @@
     fall_ms: float = 1_000.0
 
     def __post_init__(self) -> None:
-        """Refuse what no deployment can mean, naming the field."""
+        """Reject values that no deployment can have; the error names the field."""
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         for name in ("kinds", "zones", "instances", "max_attempts"):
@@ -185,14 +194,16 @@
                 raise ValueError(f"tenants[{index}]: share and quota must not be negative")
 
     def tenant_shares(self) -> list[float]:
-        """The tenants' shares of one whole."""
-        whole = sum(tenant.share for tenant in self.tenants) or 1.0
-        return [tenant.share / whole for tenant in self.tenants]
+        """Return the tenants' shares, normalised to a sum of 1."""
+        total = sum(tenant.share for tenant in self.tenants) or 1.0
+        return [tenant.share / total for tenant in self.tenants]
 
     def initial_estimates(self, slots: float) -> tuple[list[float], ...]:
-        """Where what is learned or counted by number begins: tokens in flight and running by tenant; running time
-        and that over the hint by class; slots of a worker (where starts or free slots are told, these correct
-        what begins wrong) and slowness by kind."""
+        """Return the initial values of the lists that are kept by index.
+
+        By tenant: tokens in flight and slots running. By class: running time and its ratio to the hint. By kind: slots
+        of a worker and slowness. `slots` is used where reported starts or free slots correct a wrong first guess.
+        """
         idle, slots = [0.0] * len(self.tenants), slots if self.reports_starts or self.free_slots_field else 1.0
         return (
             idle,
@@ -205,21 +216,21 @@
 
     @property
     def has_safe_class(self) -> bool:
-        """Whether any class may be repeated freely."""
+        """Whether any class has Repeat.SAFE."""
         return any(job_class.repeat is Repeat.SAFE for job_class in self.classes)
 
     @property
     def observes_other_load(self) -> bool:
-        """Whether what other nodes have at a worker is shown by its weight or by probes, and by nothing better.
+        """Whether the load from other nodes is known from worker weights or probes, and from nothing better.
 
-        Such sights are seconds old, and of many workers among many nodes there is none: all would fill the same slots.
-        Where starts are told, each tells at once whether its worker had room.
+        Such observations are seconds old, and with many workers and nodes most workers have none, so that all nodes
+        would fill the same slots. Where workers report starts, each start shows at once whether a slot was free.
         """
         return (self.live_weights or self.needs_probes) and not self.reports_starts
 
     @property
     def needs_probes(self) -> bool:
-        """Whether probes are allowed and the only way to hear of free slots."""
+        """Whether probes are allowed and the only source of free slots."""
         return self.probes and self.free_slots_field != "" and not self.reports_with_answers
 
 
@@ -227,42 +238,42 @@
 
 
 class AttemptStatistics(Protocol):
-    """What a class's plan draws on that changes as jobs run: its retry budget and its times to an answer."""
+    """Statistics of a class that its attempt plan uses: the retry budget and the response times."""
 
     def arrived(self, now_ms: float) -> None:
-        """Count a first try."""
+        """Count the first attempt of a job."""
 
     def spend(self, now_ms: float) -> bool:
         """Take one further attempt from the retry budget; False if none is left."""
 
     def served(self, took_ms: float) -> None:
-        """Note how long an attempt took that served."""
+        """Record the response time of a successful attempt."""
 
     def percentile_ms(self, share: float) -> float:
-        """The time in which this share of attempts served; infinite until enough are known."""
+        """Return the response time within which this share of attempts succeeded; infinite until enough are known."""
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Plan:
-    """What an operator allows for a request's attempts. The default allows all that the class's rules do."""
+    """The operator's limits on the attempts of a request. The default allows all that the class's rules allow."""
 
-    attempts: int = 1 << 30  # sends in all, copies included
-    retry_on: frozenset[Result] = frozenset(Result)  # it goes on while all that ended did so in one of these
-    attempt_ms: float = 0.0  # time-out of an attempt; 0: none of its own
+    attempts: int = 1 << 30  # most attempts in all, copies included
+    retry_on: frozenset[Result] = frozenset(Result)  # a further attempt needs all earlier results to be in here
+    attempt_ms: float = 0.0  # timeout of one attempt; 0: none
     total_ms: float = math.inf  # from arrival to the answer
-    hold_ms: float = math.inf  # longest wait for room, each time it waits
-    backoff_ms: tuple[float, float] = (0.0, 0.0)  # from one's end to the next; a range
-    copy_ms: float = math.inf  # an attempt out for so long may get a second copy
-    copy_share: float = 0.0  # the same, at the time in which this share of attempts served; 0: not by it
+    hold_ms: float = math.inf  # longest time in the pending queue, for each stay
+    backoff_ms: tuple[float, float] = (0.0, 0.0)  # range of the delay between the end of an attempt and the next one
+    copy_ms: float = math.inf  # an attempt that is outstanding for this long may get a second copy
+    copy_share: float = 0.0  # if above 0: use this percentile of the response times instead of copy_ms
     learned: AttemptStatistics | None = None
 
     def draw_backoff_ms(self, random: Random) -> float:
-        """Draw a back-off."""
+        """Draw a random delay from the backoff range."""
         least, most = self.backoff_ms
         return random.uniform(least, most) if most > 0.0 else 0.0
 
     def copy_after_ms(self) -> float:
-        """How long an attempt is out before its copy; infinite: it gets none."""
+        """Return how long an attempt is outstanding before it gets a second copy; infinite: never."""
         if self.copy_share and self.learned is not None:
             return self.learned.percentile_ms(self.copy_share)
         return self.copy_ms
@@ -275,7 +286,7 @@
 
 
 class Worker(NamedTuple):
-    """One row of the list."""
+    """One row of the worker list."""
 
     id: str
     state: State = State.SERVING
@@ -287,14 +298,14 @@
 
 
 class WorkersChanged(NamedTuple):
-    """News of the list; FAILED carries no rows and leaves the list as it was."""
+    """An update of the worker list; FAILED carries no rows and leaves the list unchanged."""
 
     listing: Listing
     workers: tuple[Worker, ...] = ()
 
 
 class JobArrived(NamedTuple):
-    """A job that now needs exactly one final answer within patience_ms."""
+    """A job arrived; it needs exactly one final answer within timeout_ms."""
 
     job: str
     job_class: int = 0
@@ -309,12 +320,12 @@
 
     @property
     def time_limit_ms(self) -> float:
-        """How long it may take: the client's patience, or less where its plan says so."""
+        """How long the job may take: the client's timeout, or less if its plan says so."""
         return min(self.timeout_ms, self.plan.total_ms)
 
 
 class AttemptEnded(NamedTuple):
-    """The one outcome of an attempt; closed tells that the job has its final answer."""
+    """The result of an attempt, reported once; `closed` means that the job has its final answer."""
 
     job: str
     attempt: int
@@ -326,7 +337,7 @@
 
 
 class AttemptProgress(NamedTuple):
-    """An attempt started (fraction 0) or came so far."""
+    """An attempt has started (fraction 0), or has done this fraction of its work."""
 
     job: str
     attempt: int
@@ -335,7 +346,7 @@
 
 
 class ClientGone(NamedTuple):
-    """The client left: no answer is owed any more."""
+    """The client disconnected; the job needs no answer any more."""
 
     job: str
 
@@ -356,13 +367,13 @@
 
 
 class SettingsChanged(NamedTuple):
-    """Other settings from now on. Classes, tenants, zones and kinds that were there keep their numbers."""
+    """New settings apply from now on. Known classes, tenants, zones and kinds keep their index."""
 
     settings: Settings
 
 
 class EstimatesRestored(NamedTuple):
-    """What another process of this scheduler has learned; the list has been told before."""
+    """Estimates taken over from another process of this scheduler; the worker list has been received before."""
 
     by_index: tuple[list[float], list[float], list[float], list[float]]  # run_ms, per_hint, slots, kind_slowness
     scalars: tuple[float, float, float]  # spill, fleet_failures, dead
@@ -386,7 +397,7 @@
 
 
 class Send(NamedTuple):
-    """Start an attempt; attempts of a job are numbered from 0 in the order of their sends."""
+    """Start an attempt; the attempts of a job are numbered from 0 in the order in which they are sent."""
 
     job: str
     worker: str
@@ -394,45 +405,47 @@
 
 
 class Cancel(NamedTuple):
-    """Stop waiting for one attempt."""
+    """Cancel one attempt and stop waiting for it."""
 
     job: str
     attempt: int
 
 
 class Withdraw(NamedTuple):
-    """Take one attempt back if its request has not gone out whole; nothing happens where it has."""
+    """Withdraw one attempt if its request has not been sent completely; otherwise no effect."""
 
     job: str
     attempt: int
 
 
 class Refuse(NamedTuple):
-    """Final answer: not done, trying again is harmless."""
+    """Final answer: the job was not done, and a retry is harmless."""
 
     job: str
     retry_after_ms: float = 0.0
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, with no promise about its effect."""
+    """Final answer: the job failed, and it may or may not have run."""
 
     job: str
 
 
 class Probe(NamedTuple):
-    """Ask a worker how it is."""
+    """Ask a worker for a load report."""
 
     worker: str
 
 
 class Subscribe(NamedTuple):
-    """Ask for changes of the list from now on."""
+    """Request the worker list and its changes from now on."""
 
 
 class SetTimer(NamedTuple):
-    """Ask for a TimerFired with this token. One that names a job need not fire once that job is over, or once
-    another timer was set for it."""
+    """Request a TimerFired with this token.
+
+    A timer that names a job need not fire once the job is finished or another timer is set for it.
+    """
 
     delay_ms: float
     token: int
@@ -448,40 +461,40 @@
 Action = Send | Cancel | Withdraw | Refuse | Fail | Probe | Subscribe | SetTimer | Log
 
 
-# ---------------------------------------------------------------- the policy's records, without behaviour
+# ---------------------------------------------------------------- records of the policy
 
 
 @dataclass(slots=True, eq=False)
 class WorkerRecord:
-    """What one scheduler knows of one worker."""
+    """State that one scheduler keeps about one worker."""
 
     row: Worker
     kind: int
     zone: int
     serving: bool
-    slowness: float = 0.0  # log of running time over what such jobs take
-    warmth: float = 1.0  # part of its full capacity that it has by now at the least
-    own_share: float = 0.0  # our part of it
-    pool_index: int = -1  # its index among the workers with room in our part
-    slots_in_use: float = 0.0  # slots and memory of our attempts
+    slowness: float = 0.0  # natural logarithm of actual over expected running time
+    warmth: float = 1.0  # least share of its full capacity that it has by now
+    own_share: float = 0.0  # share of the worker that this node owns
+    pool_index: int = -1  # its index in the Pool of workers with free slots in the own share; -1: not in it
+    slots_in_use: float = 0.0  # slots and memory used by this node's attempts
     memory_in_use: float = 0.0
-    latest_started_send_ms: float = -math.inf  # when the last sent of those that have started there was sent
-    others: float = 0.0  # slots that others hold there, as far as weights or reports show
-    seen_ms: float = -math.inf  # when that was shown last
-    delayed_slots_in_use: float = 0.0  # slots_out as it was about when what is shown now was so
-    delayed_updated_ms: float = 0.0  # when that was reckoned; 0: not yet
-    probed_ms: float = -math.inf  # when it was last asked how it is
-    free: float = 0.0  # free slots by the last report, less what we sent since
-    queued: float = 0.0  # jobs waiting there by the last report
+    latest_started_send_ms: float = -math.inf  # latest send time of the attempts that have started there
+    others: float = 0.0  # slots that other nodes use there, estimated from weights or reports
+    seen_ms: float = -math.inf  # when `others` was last observed
+    delayed_slots_in_use: float = 0.0  # slots_in_use at about the time that an observation arriving now describes
+    delayed_updated_ms: float = 0.0  # when delayed_slots_in_use was last updated; 0: never
+    probed_ms: float = -math.inf  # when the last probe was sent
+    free: float = 0.0  # free slots in the last report, less slots sent since
+    queued: float = 0.0  # jobs waiting there in the last report
     reported_ms: float = -math.inf
     full_until: float = -math.inf
     ejected_until: float = -math.inf
-    failures: float = 0.0  # recent share of outcomes that are failures
-    trial: bool = False
+    failures: float = 0.0  # recent failure rate, from 0 to 1
+    trial: bool = False  # on probation after an ejection: one job at a time
     trials_failed: int = 0
-    cold_tokens: float = 0.0  # slot-ms we may send while it is cold
-    cold_ms: float = -math.inf  # when these were counted
-    tried: bool = False  # a job was sent to it since it started
+    cold_tokens: float = 0.0  # slot-ms that may be sent while it is cold
+    cold_ms: float = -math.inf  # when cold_tokens was last updated
+    tried: bool = False  # whether a job was sent to it since it started
 
     LEARNED_FIELDS = (
         "slowness",
@@ -498,46 +511,46 @@
     )
 
     def speed(self) -> float:
-        """How much faster than jobs are expected to run: under 1 where it is slow."""
+        """Return the speed relative to the expected running times: below 1 for a slow worker."""
         return math.exp(-self.slowness)
 
     def restore(self, learned: Mapping[str, float]) -> None:
-        """Take what another process has learned of this worker since it started."""
+        """Apply the estimates that another process has learned about this worker since it started."""
         for name in self.LEARNED_FIELDS:
             if name in learned:
                 setattr(self, name, type(getattr(self, name))(learned[name]))
-        self.delayed_updated_ms = 0.0  # what was learned fades from now on
+        self.delayed_updated_ms = 0.0  # the estimates decay from now on
 
     def accrue_cold_tokens(self, rate: float, window_ms: float, cost: float, random: Random, now_ms: float) -> float:
-        """Count the cold budget on to now and return it: slot-ms, at `rate` a millisecond."""
-        if self.cold_ms < 0.0:  # slivers that accrue in step would all send at one moment
+        """Accrue the cold budget up to now, at `rate` slot-ms per millisecond, and return it."""
+        if self.cold_ms < 0.0:  # a random start: nodes that accrue in step would all send at the same moment
             self.cold_tokens, self.cold_ms = -random.random() * cost, self.row.started_ms
         self.cold_tokens += rate * (now_ms - self.cold_ms)
         self.cold_ms = now_ms
         self.cold_tokens = min(
             self.cold_tokens, cost + SAVED_BUDGET_SHARE * rate * window_ms
-        )  # saved up it would be a burst
+        )  # unlimited savings would allow a burst
         return self.cold_tokens
 
     def add_usage(self, slots: float, memory: float) -> None:
-        """Count an attempt's slots and memory, or take them off again where negative."""
+        """Add the slots and memory of an attempt, or remove them with negative values."""
         self.tried |= slots > 0
         self.slots_in_use += slots
         self.memory_in_use += memory
-        self.free -= max(0.0, slots)  # a report to come tells of those that ended
+        self.free -= max(0.0, slots)  # slots of ended attempts show in the next report
 
 
 class Pool(list[WorkerRecord]):
-    """Workers in a list that can be sampled, entered and left at constant cost."""
+    """A set of workers kept as a list, with sampling, insertion and removal in constant time."""
 
     def add(self, worker: WorkerRecord) -> None:
-        """Add a worker that may be in already."""
+        """Add a worker; no effect if it is in already."""
         if worker.pool_index < 0:
             worker.pool_index = len(self)
             self.append(worker)
 
     def discard(self, worker: WorkerRecord) -> None:
-        """Take out a worker that may be out already; the last one takes its place."""
+        """Remove a worker if it is in; the last one moves to its index."""
         if worker.pool_index >= 0:
             last = self.pop()
             if last is not worker:
@@ -547,67 +560,70 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptRecord:
-    """One send of a job."""
+    """One attempt of a job: sent once to one worker."""
 
     worker: WorkerRecord
     sent_ms: float
-    spilled: bool  # went beyond our own part
-    last_heard_ms: float  # its last sign of life
+    spilled: bool  # sent outside the own share
+    last_heard_ms: float  # time of the last sign of life
     started_ms: float = 0.0
-    progress: float = 0.0  # done by its last note
+    progress: float = 0.0  # fraction done by the last progress report
     overdue: bool = False
-    released: float = 0.0  # part of its slots that counts as free, as it is overdue and may be dead
+    released: float = 0.0  # share of its slots that counts as free, as it is overdue and may be dead
     cancelled: bool = False
     result: Result | None = None
 
 
 @dataclass(slots=True, eq=False)
 class JobRecord:
-    """One job from its arrival until its last attempt has ended."""
+    """One job, from its arrival until its last attempt has ended."""
 
     event: JobArrived
     cls: JobClass
     tenant: int
     size_ms: float  # expected running time
     slack_ms: float  # time it may wait and still be in time
-    first_request_ms: float  # when the client first asked
-    latest_start_ms: float  # from here on starting it earns nothing
-    attempt_limit: int = 1 << 30  # sends that the settings allowed when it came
+    first_request_ms: float  # when the client first sent it
+    latest_start_ms: float  # a later start gains nothing
+    attempt_limit: int = 1 << 30  # attempts that the settings allowed when it arrived
     attempts: list[AttemptRecord] = field(default_factory=list)
-    outstanding: int = 0  # attempts without an outcome
-    released_slots: float = 0.0  # tokens given back early, as an attempt of it is overdue
-    open: bool = True  # its final answer is still owed
-    pending: bool = False
-    pending_until: float = math.inf  # where it is held: given up if it was not sent by then
-
-    def may_send(self, most: int, at_ms: float) -> bool:
-        """Whether its plan lets it be sent once more at that time, and that can still earn something."""
+    outstanding: int = 0  # attempts without a result
+    released_slots: float = 0.0  # tokens returned early, as an attempt is overdue
+    open: bool = True  # it has no final answer yet
+    pending: bool = False  # it is in the pending queue
+    pending_until: float = math.inf  # when it leaves the pending queue unserved
+
+    def may_send(self, max_attempts: int, at_ms: float) -> bool:
+        """Whether its plan allows one more attempt at that time, and that can still gain something.
+
+        Takes one attempt from the retry budget if so.
+        """
         plan = self.event.plan
         return (
-            len(self.attempts) < min(most, self.attempt_limit, plan.attempts)
+            len(self.attempts) < min(max_attempts, self.attempt_limit, plan.attempts)
             and at_ms < self.latest_start_ms
             and all(a.result in (None, Result.NOT_SENT) or a.result in plan.retry_on for a in self.attempts)
             and (plan.learned is None or not self.attempts or plan.learned.spend(at_ms))
         )
 
     def may_copy(self, settings: Settings, at_ms: float) -> bool:
-        """Whether settings and plan let a second copy go out beside what is out."""
+        """Whether settings and plan allow a second copy beside the outstanding attempt."""
         return settings.second_copies and self.may_send(settings.max_attempts, at_ms)
 
     def runs_on(self, worker: WorkerRecord) -> bool:
-        """Whether an attempt of it is out at this worker: a copy belongs elsewhere."""
+        """Whether an attempt is outstanding at this worker; a second copy must go to another one."""
         return self.outstanding > 0 and any(a.worker is worker and a.result is None for a in self.attempts)
 
     def possible_run(self) -> AttemptRecord | None:
-        """The first attempt that is still out or may have run."""
+        """Return the first attempt that may have run or is still outstanding."""
         return next((attempt for attempt in self.attempts if attempt.result not in NEVER_RAN), None)
 
 
 class Jobs(dict[str, JobRecord]):
-    """The jobs that are open or still have attempts out, by id."""
+    """The jobs that are open or still have outstanding attempts, by id."""
 
     def find_attempt(self, event: AttemptEnded | AttemptProgress) -> tuple[JobRecord, AttemptRecord] | None:
-        """The records an event names; none where it comes late, twice or for nothing of ours."""
+        """Return the records that an event names; None if it is late, repeated or for an unknown job."""
         job = self.get(event.job)
         if job is None or not 0 <= event.attempt < len(job.attempts):
             return None
@@ -615,13 +631,13 @@
         return None if attempt.result is not None else (job, attempt)
 
     def withdrawals(self) -> list[Withdraw]:
-        """Attempts out at workers that must get nothing new: what has not gone out yet is to be taken back."""
+        """Return Withdraw actions for attempts at workers that no longer serve; those sent completely go on."""
         return [
             Withdraw(job.event.job, number) for job, number, attempt in self.outstanding() if not attempt.worker.serving
         ]
 
     def outstanding(self) -> Iterator[tuple[JobRecord, int, AttemptRecord]]:
-        """All attempts without an outcome, with their jobs and numbers."""
+        """Yield all attempts without a result, with their jobs and numbers."""
         for job in self.values():
             for number, attempt in enumerate(job.attempts if job.outstanding else ()):
                 if attempt.result is None:
@@ -629,24 +645,24 @@
 
 
 class JobTimers(dict[int, tuple[JobRecord, tuple[int, int]]]):
-    """Jobs that a timer is to bring up again: a back-off that ends, or an attempt due a second copy.
+    """Jobs with a timer: for the end of a backoff, or for the second copy of an attempt.
 
-    A timer can't be taken back. One counts only if since then nothing was sent for its job and nothing of it
-    ended: a copy's timer must neither end the back-off that came after it nor copy the attempt after that.
+    Timers can't be cancelled. A timer is valid only if since it was set no attempt of its job was sent or ended.
+    Otherwise the timer of a copy could end a later backoff early, or copy a later attempt.
     """
 
     def schedule(self, job: JobRecord, delay_ms: float) -> SetTimer:
-        """Bring a job up again after so long."""
+        """Set a timer for a job and return the action that requests it."""
         token = FIRST_JOB_TOKEN + self.count
         self.count += 1
-        if not self.count % 256:  # timers of jobs that are over need not fire
-            for over in [known for known, (of_job, _) in self.items() if not of_job.open]:
-                del self[over]
+        if not self.count % 256:  # timers of finished jobs need not fire
+            for stale in [known for known, (of_job, _) in self.items() if not of_job.open]:
+                del self[stale]
         self[token] = job, (len(job.attempts), job.outstanding)
         return SetTimer(delay_ms, token, job.event.job)
 
     def take(self, token: int) -> JobRecord | None:
-        """The job whose timer this is, if it is still open and as it was."""
+        """Remove a timer and return its job, if the job is open and unchanged since then."""
         job, state = self.pop(token, (None, (0, 0)))
         return job if job is not None and job.open and (len(job.attempts), job.outstanding) == state else None
 
@@ -654,10 +670,10 @@
 
 
 class PendingJobs(dict[tuple[int, int], deque[JobRecord]]):
-    """Waiting jobs: a queue for each tenant and class that has any."""
+    """Jobs that wait for free slots: one queue for each tenant and class with pending jobs."""
 
     def enqueue(self, job: JobRecord, first: bool, now_ms: float) -> float:
-        """Let a job wait, at the head or the end of its queue; until when it may is returned."""
+        """Add a job at the head or the end of its queue, and return when it leaves the queue unserved."""
         job.pending_until = min(job.latest_start_ms, now_ms + job.event.plan.hold_ms)
         queue = self.setdefault((job.tenant, job.event.job_class), deque())
         (queue.appendleft if first else queue.append)(job)
@@ -665,7 +681,7 @@
         return job.pending_until
 
     def remove(self, job: JobRecord) -> None:
-        """Take a job out, if it waits."""
+        """Remove a job if it is pending."""
         if job.pending:
             key = (job.tenant, job.event.job_class)
             self[key].remove(job)
@@ -674,5 +690,5 @@
                 del self[key]
 
     def jobs(self) -> list[JobRecord]:
-        """All that wait."""
+        """Return all pending jobs."""
         return [job for queue in self.values() for job in queue]
