--- a/pipitledge/adapter.py
+++ b/pipitledge/adapter.py
@@ -1,4 +1,7 @@
-"""The wire of the dispatcher's bench on one side, one Policy per instance on the other. No decisions here."""
+"""Adapter between the simulator's line protocol and one Policy per simulated scheduler node. It takes no decisions.
+
+The simulator sends batches of events on standard input; the actions of the policies are written to standard output.
+"""
 
 from __future__ import annotations
 
@@ -109,17 +112,17 @@
 
 
 class Adapter:
-    """Hosts the instances of one process and answers batches line by line."""
+    """Hosts the policies of all simulated nodes of one process and answers their batches."""
 
     def __init__(self, lines: Iterator[str], out: TextIO) -> None:
-        """Read batches from lines, write replies to out."""
+        """Read batches from `lines` and write replies to `out`."""
         self.lines = lines
         self.out = out
         self.line_number = 0
         self.policies: dict[int, Policy] = {}
 
     def run(self) -> int:
-        """Answer batches until the input ends; a fault on the wire is one plain line and exit code 2."""
+        """Answer batches until the input ends; malformed input gives one line on standard error and exit code 2."""
         try:
             for line in self.lines:
                 self.line_number += 1
@@ -188,11 +191,11 @@
     def _answer(self, number: int, now: float, events: list[api.Event], reply: list[str]) -> None:
         try:
             actions = self.policies[number].handle(now, events)
-        except Exception as fault:  # the day must end with the reason, whatever it is
+        except Exception as fault:  # the simulation must end with the reason, whatever it is
             traceback.print_exc(file=sys.stderr)
             reply += [f"speaking\ti={number}", f"bail_out\ttext={type(fault).__name__}: {fault}"]
             return
-        # On this wire an attempt has gone out once it is sent: there is nothing to take back.
+        # In this protocol an attempt has left the node once it is sent, so there is nothing to withdraw.
         if actions := [action for action in actions if not isinstance(action, api.Withdraw)]:
             reply.append(f"speaking\ti={number}")
             reply += [ACTIONS[type(action)](action) for action in actions]
--- a/pipitledge/decision/policy.py
+++ b/pipitledge/decision/policy.py
@@ -53,7 +53,8 @@
 from pipitledge.decision.shares import assign_shares
 
 SAMPLE_SIZE = 6  # workers compared per job: enough to find free slots, whatever the size of the fleet
-FAILURE_PENALTY = {Repeat.SAFE: 0.5, Repeat.KEYED: 1.0, Repeat.UNSAFE: 4.0}  # log speed that counts like a failure rate of 1
+# Placement score (in log speed) that a worker loses at a failure rate of 1, by what a failed attempt costs.
+FAILURE_PENALTY = {Repeat.SAFE: 0.5, Repeat.KEYED: 1.0, Repeat.UNSAFE: 4.0}
 EJECTABLE = 0.5  # largest share of the fleet that may be ejected at one time
 COLD_FIRST_SHARE = 0.25  # share of the cold budget for a worker's first job, as its size is an estimate
 BUSY_TICK_MS, IDLE_TICK_MS, REASSIGN_MS = 40.0, 200.0, 500.0  # tick with, without pending jobs; share updates
@@ -152,7 +153,7 @@
         return admit(slots, job.tenant, usages, capacity).admitted
 
     def _displace(self, job: JobRecord) -> bool:
-        """Without free tokens, finish a never-sent pending job of lower rank (a late one, say) for its tokens."""
+        """Without free tokens, finish a never-sent pending job of lower rank (say, late) for its tokens."""
         slots, tenant = job.event.slots, job.tenant
         capped = self.inflight[tenant] + slots > self._admission_capacity(job)
         heads = [queue[0] for queue in self.pending.values() if not capped or queue[0].tenant == tenant]
@@ -263,7 +264,7 @@
         return not self.zoned or self.objective.pays_for_crossing(job.event.job_class, job.cls, job.size_ms)
 
     def _new_worker(self, job: JobRecord) -> WorkerRecord | None:
-        """Return a newly started worker for one safe job, even a late one; it looks too cold for any other."""
+        """Return a newly started worker for one safe job, even a late one; it is too cold for others."""
         if job.cls.repeat is not Repeat.SAFE:
             return None
         cost, rules = job.event.slots * job.size_ms * self.settings.instances, self.settings
@@ -388,8 +389,8 @@
     def _check_overdue(self) -> None:
         """Mark attempts as overdue, and cancel those that owe a sign of life.
 
-        An overdue attempt frees its slots and tokens in proportion to the probability that it is dead, in eighths
-        so that sums stay exact. An overtaken attempt is dead and frees all of them.
+        An overdue attempt frees its slots and tokens in proportion to the probability that it is dead, in
+        eighths so that sums stay exact. An overtaken attempt is dead and frees all of them.
         """
         for job, number, attempt in self.jobs.outstanding():
             worker, overtaken = attempt.worker, health.was_overtaken(attempt, self.settings)
--- a/pipitledge/decision/settings.py
+++ b/pipitledge/decision/settings.py
@@ -1,4 +1,4 @@
-"""The operator's settings object, as JSON, to Settings; shared by the simulator's adapter and the node."""
+"""Translation of the operator's settings object (JSON) to Settings; used by the simulator's adapter and the node."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 REPEATS = {"free": api.Repeat.SAFE, "guarded": api.Repeat.KEYED, "single_shot": api.Repeat.UNSAFE}
 STATES = {"in_service": api.State.SERVING, "terminating": api.State.DRAINING, "terminated": api.State.GONE}
-# What load reports call their values, on the simulator's wire and on the sockets, and the module's own names.
+# Field names of load reports, on the simulator's wire and on sockets, and the names that the policy uses for them.
 REPORT_FIELD_NAMES = {
     "rif": "inflight",
     "q": "queued",
@@ -25,11 +25,11 @@
 }
 
 
-# Every setting the platform's pages name, by its place; docs/design/deployments.md tells who reads it. Those that
-# nobody reads are here too: they are known to be of no use to a node, which is not the same as unknown.
+# Every documented setting, by its path in the settings object; docs/design/deployments.md says which component reads
+# it. Settings that no component reads are listed too: a node ignores them on purpose, so they are not unknown.
 KNOWN_KEYS: dict[str, frozenset[str]] = {
-    place: frozenset(names.split())
-    for place, names in {
+    path: frozenset(names.split())
+    for path, names in {
         "": "n_instances lanes clients discovery service_type specifics goal shapes permissions my_number "
         "over_share_worth prices report rules realms resolution_ms layer layers weights value_by zone zones",
         "lanes[]": "aim_stretch objective_ms deadline_ms repeat dedup_scope late_share name stream window_ms worth",
@@ -55,43 +55,43 @@
 
 
 def unknown_settings(raw: Mapping[str, Any]) -> list[str]:
-    """Places of settings that no page names, and of values that are none of those a page names, each once."""
+    """Return the paths of undocumented settings, and path=value for undocumented values, each once and sorted."""
     found = list[str]()
 
-    def look(place: str, part: Any) -> None:
-        if isinstance(part, Mapping) and place in KNOWN_KEYS:
+    def walk(path: str, part: Any) -> None:
+        if isinstance(part, Mapping) and path in KNOWN_KEYS:
             for name, value in part.items():
-                where = f"{place}.{name}" if place else str(name)
-                if name not in KNOWN_KEYS[place]:
-                    found.append(where)
-                elif where in ALLOWED_VALUES and value not in ALLOWED_VALUES[where]:
-                    found.append(f"{where}={str(value)[:40]}")
+                full_path = f"{path}.{name}" if path else str(name)
+                if name not in KNOWN_KEYS[path]:
+                    found.append(full_path)
+                elif full_path in ALLOWED_VALUES and value not in ALLOWED_VALUES[full_path]:
+                    found.append(f"{full_path}={str(value)[:40]}")
                 else:
-                    look(where, value)
-        elif isinstance(part, list) and f"{place}[]" in KNOWN_KEYS:
+                    walk(full_path, value)
+        elif isinstance(part, list) and f"{path}[]" in KNOWN_KEYS:
             for entry in part:
-                look(f"{place}[]", entry)
+                walk(f"{path}[]", entry)
 
-    look("", raw)
+    walk("", raw)
     return sorted({*found})
 
 
 def parse_settings(text: str) -> api.Settings:
-    """Read the settings object from its JSON text."""
+    """Parse the settings object from its JSON text."""
     return settings_from(json.loads(text))
 
 
 def settings_from(raw: Mapping[str, Any]) -> api.Settings:
     """Translate the settings object; absent keys keep the defaults stated in Settings."""
-    allow, rules, family = raw.get("permissions", {}), raw.get("rules", {}), raw.get("specifics", {})
+    allow, rules, specifics = raw.get("permissions", {}), raw.get("rules", {}), raw.get("specifics", {})
     report, goal, prices = raw.get("report", {}), raw.get("goal", {}), raw.get("prices", {})
-    extras = {"x0": family.get("report_x0", ""), "x1": family.get("report_x1", "")}
+    extras = {"x0": specifics.get("report_x0", ""), "x1": specifics.get("report_x1", "")}
     free = [name for name, meaning in extras.items() if "slot" in meaning]
     source = report.get("source", "none")
     fields = (report.get("fields") or ()) if source != "none" else ()
 
     def of_class(name: str, index: int, default: float) -> float:
-        values = family.get(name) or []
+        values = specifics.get(name) or []
         return values[index] if index < len(values) else default
 
     classes = tuple(
@@ -121,7 +121,7 @@
         instances=raw.get("n_instances", 1),
         number=raw.get("my_number", 0),
         must_subscribe=raw.get("discovery")
-        != "push",  # unknown or not told: asking, with its back-off, works with both
+        != "push",  # if unstated or unknown: requests, with their backoff, always work
         probes=bool(allow.get("probes")),
         cancel=bool(allow.get("cancel")),
         second_copies=bool(allow.get("second_copies")),
@@ -140,9 +140,10 @@
         reports_with_answers=source == "answers",
         free_slots_field=free[0] if free else "",
         reports_memory="x1" in fields,
-        reports_starts=bool(family.get("tells_start")),
-        progress_ms=family.get("progress_ms", 0.0),
-        starts_in_order=family.get("queue_order") == "fifo" and bool(family.get("tells_start") and allow.get("cancel")),
+        reports_starts=bool(specifics.get("tells_start")),
+        progress_ms=specifics.get("progress_ms", 0.0),
+        starts_in_order=specifics.get("queue_order") == "fifo"
+        and bool(specifics.get("tells_start") and allow.get("cancel")),
         resolution_ms=raw.get("resolution_ms", 1.0),
         ask_every_ms=rules.get("ask_every_ms", 10_000.0),
         drain_grace_ms=rules.get("drain_grace_ms", 300.0),
--- a/pipitledge/node/dispatch.py
+++ b/pipitledge/node/dispatch.py
@@ -56,7 +56,7 @@
     reply: Callable[[Answer], None]
     deadline_ms: float = 0.0
     most: int = 1 << 30  # executions that the settings allowed when it came
-    sends: int = 0  # executions so far, MOOT ones included: their numbers follow the module's sends
+    sends: int = 0  # executions so far, NOT_SENT ones included: their numbers follow the module's sends
     out: dict[int, Execution] = field(default_factory=dict)
     open: bool = True
     overdue: Timer | None = None
--- a/pipitledge/node/endings.py
+++ b/pipitledge/node/endings.py
@@ -48,7 +48,7 @@
     WATCH_REPLACED = "watch-replaced"
 
 
-# The one place where an execution's ending becomes the module's outcome. FULL, CONNECT_FAILED and MOOT
+# The one place where an execution's ending becomes the module's outcome. FULL, CONNECT_FAILED and NOT_SENT
 # promise that the job never ran, so only endings before the request's last byte may map to them, or those for
 # which the worker itself has given the proof since.
 RESULTS = {
