--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small ways to drive a Policy in tests."""
+"""Helpers that drive a Policy in tests."""
 
 from __future__ import annotations
 
@@ -39,7 +39,12 @@
     )
 
 
-COLD = {"cold_share": 0.1, "cold_ms": 22_000.0, "overload_factor": 3.0, "fall_ms": 2_000.0}  # the protocol's rules
+COLD = {
+    "cold_share": 0.1,
+    "cold_ms": 22_000.0,
+    "overload_factor": 3.0,
+    "fall_ms": 2_000.0,
+}  # the cold-start rules of the simulator's protocol
 
 
 def settings(**changes: Any) -> Settings:
@@ -55,39 +60,39 @@
 
 
 class Driver:
-    """A Policy, the time, and what it did."""
+    """A Policy with a simulated clock; it records all actions."""
 
     def __init__(self, use: Settings | None = None, workers: int = 4, seed: int = 1, **rows: Any) -> None:
         self.policy = Policy(use or settings(), seed)
         self.now = 1_000.0
         self.attempts: dict[str, int] = {}
-        self.did: list[Action] = []
+        self.all_actions: list[Action] = []
         if workers:
             self.list([Worker(f"w{index}", **rows) for index in range(workers)])
 
     def list(self, rows: list[Worker], listing: Listing = Listing.FULL) -> list[Action]:
-        return self.tell(WorkersChanged(listing, tuple(rows)))
+        return self.handle(WorkersChanged(listing, tuple(rows)))
 
-    def tell(self, *events: Event, after_ms: float = 0.0) -> list[Action]:
+    def handle(self, *events: Event, after_ms: float = 0.0) -> list[Action]:
         self.now += after_ms
         actions = self.policy.handle(self.now, events)
         for action in actions:
             if isinstance(action, Send):
                 self.attempts[action.job] = self.attempts.get(action.job, -1) + 1
-        self.did += actions
+        self.all_actions += actions
         return actions
 
     def tick(self, after_ms: float = 0.0) -> list[Action]:
-        """The module's own timer fires, whenever it was due."""
+        """Fire the policy's tick timer, whenever it was due."""
         self.policy.next_tick_ms = 0.0
-        return self.tell(TimerFired(0), after_ms=after_ms)
+        return self.handle(TimerFired(0), after_ms=after_ms)
 
     def sends(self, count: int, **fields: Any) -> list[Send]:
-        """So many jobs come; what is sent at once."""
-        return [send for _ in range(count) for send in of(self.job(f"s{len(self.did)}", **fields), Send)]
+        """Submit `count` jobs and return the attempts that are sent at once."""
+        return [send for _ in range(count) for send in of_type(self.job(f"s{len(self.all_actions)}", **fields), Send)]
 
     def job(self, name: str, **fields: Any) -> list[Action]:
-        return self.tell(JobArrived(name, **({"timeout_ms": 5_000.0} | fields)))
+        return self.handle(JobArrived(name, **({"timeout_ms": 5_000.0} | fields)))
 
     def end(
         self,
@@ -101,17 +106,17 @@
         number = self.attempts[send.job] if attempt is None else attempt
         closed = result is Result.OK if closed is None else closed
         report = None if free is None else {"x0": free}
-        return self.tell(
+        return self.handle(
             AttemptEnded(send.job, number, send.worker, result, after_ms, closed, report), after_ms=after_ms
         )
 
     def learn_slots(self, slots: float, rounds: int = 1) -> None:
-        """Let a job end with a report, so that the kind's slots are known."""
+        """Let jobs end with a load report, so that the slots of their worker's kind are known."""
         for index in range(rounds):
             name = f"learn-{index}-{self.now}"
-            for send in of(self.job(name), Send):
+            for send in of_type(self.job(name), Send):
                 self.end(send, free=slots)
 
 
-def of(actions: list[Action], kind: type) -> list[Any]:
+def of_type(actions: list[Action], kind: type) -> list[Any]:
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: what is read, what is answered, and one plain line for what is malformed."""
+"""The simulator's line protocol: parsed events, written actions, and one-line errors for malformed input."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
     assert (settings.instances, settings.number, settings.max_attempts) == (2, 1, 5)
 
 
-def test_a_shutdown_forgets_everything() -> None:
+def test_shutdown_drops_the_instance_and_its_events() -> None:
     body = SPAWN + LIST + JOB + "shutdown\n"
     code, out = play(batch(body))
     assert code == 0 and "transmit" not in out
@@ -89,13 +89,13 @@
         (batch(SPAWN + "tick_due\tnonce\n"), "name=value"),
     ],
 )
-def test_malformed_input_is_one_plain_line(text: str, word: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_malformed_input_gives_a_one_line_error(text: str, word: str, capsys: pytest.CaptureFixture[str]) -> None:
     code, _ = play(text)
     message = capsys.readouterr().err
     assert code != 0 and word in message and message.startswith("line ") and message.count("\n") == 1
 
 
-def test_an_exception_of_the_policy_ends_the_day_with_its_reason(
+def test_an_exception_in_the_policy_ends_the_simulation_with_its_reason(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def broken(*_: object) -> None:
@@ -107,13 +107,13 @@
     assert "Traceback" in capsys.readouterr().err
 
 
-def test_the_order_of_hashing_changes_nothing() -> None:
+def test_output_does_not_depend_on_the_hash_seed() -> None:
     rows = "".join(f"worker\tsite=0\tphase=in_service\tworker=10.0.0.{n}:1\n" for n in range(40))
-    fewer = "".join(f"worker\tsite=0\tphase=in_service\tworker=10.0.0.{n}:1\n" for n in range(0, 40, 3))
+    subset = "".join(f"worker\tsite=0\tphase=in_service\tworker=10.0.0.{n}:1\n" for n in range(0, 40, 3))
     jobs = "".join(f"accept\tticket=a{n}\tcategory=0\tpatience_left_ms=5000.0\n" for n in range(60))
     more = jobs.replace("ticket=a", "ticket=b")
     text = batch(SPAWN + "backends_changed\thow=full\tversion=1\trows_in=40\n" + rows + jobs) + batch(
-        "instance\ti=1\nbackends_changed\thow=full\tversion=2\trows_in=14\n" + fewer + more, 2
+        "instance\ti=1\nbackends_changed\thow=full\tversion=2\trows_in=14\n" + subset + more, 2
     )
     replies = set()
     for seed in ("1", "2", "3"):
--- a/tests/test_attempts_run.py
+++ b/tests/test_attempts_run.py
@@ -8,7 +8,7 @@
 
 import pytest
 from attempts_helper import SETTINGS, STANDARD, load
-from helpers import Driver, of
+from helpers import Driver, of_type
 
 import pipitledge.attempts.check as checker
 import pipitledge.decision.policy as module
@@ -50,21 +50,21 @@
 
 def timer(actions: list[Any], delay_ms: float) -> SetTimer:
     """The timer of this length that is not the module's tick."""
-    [found] = [action for action in of(actions, SetTimer) if action.token > 1 and action.delay_ms == delay_ms]
+    [found] = [action for action in of_type(actions, SetTimer) if action.token > 1 and action.delay_ms == delay_ms]
     return found
 
 
 def test_a_send_carries_its_time_out_and_a_copy_goes_elsewhere_once() -> None:
     d = driver()
     sent = d.job("a", job_class=MENU, plan=plan(copy_ms=150.0))
-    [first] = of(sent, Send)
+    [first] = of_type(sent, Send)
     assert first.timeout_ms == 400.0
-    [copy] = of(d.tell(TimerFired(timer(sent, 150.0).token), after_ms=150.0), Send)
+    [copy] = of_type(d.handle(TimerFired(timer(sent, 150.0).token), after_ms=150.0), Send)
     assert copy.worker != first.worker
-    assert not [a for a in of(d.did, SetTimer) if a.delay_ms == 150.0][1:]  # the copy gets no copy
-    [lost] = of(d.end(first, attempt=0), Cancel)  # the first served: its copy is called off
+    assert not [a for a in of_type(d.all_actions, SetTimer) if a.delay_ms == 150.0][1:]  # the copy gets no copy
+    [lost] = of_type(d.end(first, attempt=0), Cancel)  # the first served: its copy is called off
     assert (lost.job, lost.attempt) == ("a", 1)
-    d.tell(AttemptEnded("a", 1, copy.worker, Result.CANCELLED, 10.0, True))
+    d.handle(AttemptEnded("a", 1, copy.worker, Result.CANCELLED, 10.0, True))
     assert not d.policy.jobs and d.policy.inflight == [0.0]
 
 
@@ -72,8 +72,8 @@
     d = driver()
     for job_class, wanted in ((PAY, 1), (BOOK, 0)):
         sent = d.job(f"j{job_class}", job_class=job_class, plan=plan(copy_ms=150.0))
-        [first] = of(sent, Send)
-        copies = of(d.tell(TimerFired(timer(sent, 150.0).token), after_ms=150.0), Send)
+        [first] = of_type(sent, Send)
+        copies = of_type(d.handle(TimerFired(timer(sent, 150.0).token), after_ms=150.0), Send)
         assert len(copies) == wanted
         assert all(
             copy.worker != first.worker and int(copy.worker[1]) // 2 == int(first.worker[1]) // 2 for copy in copies
@@ -84,42 +84,42 @@
 def test_a_copy_and_a_retry_in_the_same_instant_make_one_send(fires_first: bool) -> None:
     d = driver()
     sent = d.job("a", job_class=MENU, plan=plan(copy_ms=90.0, attempt_ms=90.0))
-    [first] = of(sent, Send)
+    [first] = of_type(sent, Send)
     events: list[Any] = [TimerFired(timer(sent, 90.0).token), AttemptEnded("a", 0, first.worker, Result.TIMEOUT, 90.0)]
-    sends = of(d.tell(*(events if fires_first else events[::-1]), after_ms=90.0), Send)
+    sends = of_type(d.handle(*(events if fires_first else events[::-1]), after_ms=90.0), Send)
     assert len(sends) == 1
 
 
 def test_a_copys_timer_does_not_cut_a_back_off_short() -> None:
     d = driver()
     sent = d.job("a", job_class=MENU, plan=plan(copy_ms=150.0, backoff_ms=(60.0, 60.0)))
-    [first] = of(sent, Send)
+    [first] = of_type(sent, Send)
     ended = d.end(first, Result.RESET, after_ms=140.0)
-    assert not of(ended, Send)
-    assert not of(d.tell(TimerFired(timer(sent, 150.0).token), after_ms=10.0), Send)
-    assert len(of(d.tell(TimerFired(timer(ended, 60.0).token), after_ms=50.0), Send)) == 1
+    assert not of_type(ended, Send)
+    assert not of_type(d.handle(TimerFired(timer(sent, 150.0).token), after_ms=10.0), Send)
+    assert len(of_type(d.handle(TimerFired(timer(ended, 60.0).token), after_ms=50.0), Send)) == 1
 
 
 def test_outcomes_that_retry_on_does_not_name_end_the_job() -> None:
     d = driver()
-    [first] = of(d.job("a", job_class=MENU, plan=plan(retry_on=frozenset({Result.FULL}))), Send)
-    assert of(d.end(first, Result.ERROR), Refuse)  # safe to repeat: the client may
-    [first] = of(d.job("b", job_class=PAY, plan=plan(retry_on=frozenset({Result.FULL}))), Send)
-    assert of(d.end(first, Result.ERROR), Fail)
+    [first] = of_type(d.job("a", job_class=MENU, plan=plan(retry_on=frozenset({Result.FULL}))), Send)
+    assert of_type(d.end(first, Result.ERROR), Refuse)  # safe to repeat: the client may
+    [first] = of_type(d.job("b", job_class=PAY, plan=plan(retry_on=frozenset({Result.FULL}))), Send)
+    assert of_type(d.end(first, Result.ERROR), Fail)
 
 
 def test_a_back_off_that_ends_too_late_is_not_waited_for() -> None:
     d = driver()
-    [first] = of(d.job("a", job_class=MENU, plan=plan(backoff_ms=(9_000.0, 9_000.0))), Send)
-    assert of(d.end(first, Result.RESET), Refuse)
+    [first] = of_type(d.job("a", job_class=MENU, plan=plan(backoff_ms=(9_000.0, 9_000.0))), Send)
+    assert of_type(d.end(first, Result.RESET), Refuse)
 
 
 def test_a_hold_time_out_ends_the_wait_and_the_client_hears() -> None:
     d = driver()
     jobs = [d.job(f"j{n}", job_class=MENU, plan=plan(hold_ms=30.0)) for n in range(60)]
-    assert len(d.policy.pending) and any(not of(actions, Send) for actions in jobs)
-    heard = d.tell(TimerFired(module.TICK_TOKEN), after_ms=40.0)
-    assert of(heard, Refuse) and not d.policy.pending
+    assert len(d.policy.pending) and any(not of_type(actions, Send) for actions in jobs)
+    heard = d.handle(TimerFired(module.TICK_TOKEN), after_ms=40.0)
+    assert of_type(heard, Refuse) and not d.policy.pending
 
 
 def test_the_budget_bounds_attempts_beyond_first_tries() -> None:
@@ -133,8 +133,8 @@
     retried = 0
     for number in range(40):
         learned.arrived(d.now)
-        for first in of(d.job(f"j{number}", job_class=MENU, plan=mine), Send):
-            retried += len(of(d.end(first, Result.RESET, after_ms=1.0), Send))
+        for first in of_type(d.job(f"j{number}", job_class=MENU, plan=mine), Send):
+            retried += len(of_type(d.end(first, Result.RESET, after_ms=1.0), Send))
     assert retried == 4  # a tenth of 40
 
 
--- a/tests/test_believes.py
+++ b/tests/test_believes.py
@@ -1,4 +1,4 @@
-"""What the module reckons before it decides: gain to the goal, parts by zone, what others hold, pace from progress."""
+"""The policy's estimates: gain for the objective, shares by zone, slots used by other nodes, slowness from progress."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from helpers import SAFE, UNSAFE, Driver, of, settings
+from helpers import SAFE, UNSAFE, Driver, of_type, settings
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -29,7 +29,7 @@
 }
 
 
-# ---- parts of the ring
+# ---- shares of the ring
 
 
 def ring(zones: list[int]) -> list[api.WorkerRecord]:
@@ -43,7 +43,7 @@
     priced=st.booleans(),
     zone=st.integers(0, 2),
 )
-def test_parts_of_all_nodes_of_a_zone_cover_it_and_no_part_is_more_than_a_whole(
+def test_shares_of_all_nodes_cover_each_worker_and_none_exceeds_one(
     zones: list[int], instances: int, priced: bool, zone: int
 ) -> None:
     total = dict.fromkeys(range(len(zones)), 0.0)
@@ -60,27 +60,27 @@
         assert not zoned or {worker.zone for worker in mine} == {zone}
         for index, worker in enumerate(workers):
             total[index] += worker.own_share
-    for index, part in total.items():
+    for index, share in total.items():
         if not zoned:
-            assert part == pytest.approx(1.0)  # every worker is shared out whole, once
-        elif zones[index] == zone:  # all numbers in one zone: together `zones` times a whole, or each has it whole
-            assert part == pytest.approx(min(instances, len({*zones})))
+            assert share == pytest.approx(1.0)  # every worker is shared out completely, once
+        elif zones[index] == zone:  # with all nodes in one zone, the shares add up to the number of zones at most
+            assert share == pytest.approx(min(instances, len({*zones})))
 
 
-# ---- zones, in the module
+# ---- zones
 
 
 def zoned(**changes: Any) -> Driver:
     driver = Driver(settings(**(ZONED | changes)), workers=0)
     driver.list([api.Worker(f"w{n}", zone=n // 2, weight=8.0) for n in range(6)])
     driver.policy.slots[:] = [2.0]
-    driver.tell(api.TimerFired(0))
+    driver.handle(api.TimerFired(0))
     driver.tick()
     return driver
 
 
 def weigh(driver: Driver, held: dict[str, float]) -> None:
-    """Ten lists, as weights are told over and over."""
+    """Send ten list updates with the weights for these slots in use."""
     for _ in range(10):
         driver.list(
             [
@@ -92,90 +92,96 @@
         driver.tick(500)
 
 
-def test_jobs_stay_in_their_zone_while_it_has_room_and_cross_when_it_has_none() -> None:
+def test_jobs_stay_in_their_zone_while_it_has_free_slots_and_cross_when_it_is_full() -> None:
     driver = zoned()
     zones = [driver.policy.workers[send.worker].zone for send in driver.sends(6)]
     assert zones[:4] == [1] * 4 and set(zones[4:]) <= {0, 2} and zones[4:]
 
 
-def test_a_crossing_that_costs_more_than_the_job_is_worth_is_not_made() -> None:
+def test_a_job_does_not_cross_zones_if_the_crossing_costs_more_than_its_value() -> None:
     cheap, dear = dataclasses.replace(SAFE, worth=0.01), dataclasses.replace(UNSAFE, worth=10.0)
     driver = zoned(classes=(cheap, dear), objective=api.ObjectiveWeights(1.0, 0.0))
     assert len(driver.sends(4)) == 4
-    assert not of(driver.job("cheap"), api.Send)
-    assert [driver.policy.workers[send.worker].zone for send in of(driver.job("dear", job_class=1), api.Send)] != [1]
+    assert not of_type(driver.job("cheap"), api.Send)
+    assert [driver.policy.workers[send.worker].zone for send in of_type(driver.job("dear", job_class=1), api.Send)] != [
+        1
+    ]
 
 
-def test_what_others_hold_by_the_weights_is_no_room_near_or_far() -> None:
+def test_slots_used_by_other_nodes_according_to_weights_are_not_free() -> None:
     driver = zoned()
     weigh(driver, {"w2": 2.0, "w3": 2.0, "w0": 2.0, "w1": 2.0, "w4": 2.0})
     assert [send.worker for send in driver.sends(1)] == ["w5"]
-    weigh(driver, {})  # and it comes back as they go
+    weigh(driver, {})  # the slots are free again
     assert {send.worker for send in driver.sends(3)} <= {"w2", "w3"}
 
 
-def test_weights_that_are_no_live_ones_show_nothing_held() -> None:
+def test_weights_that_are_not_live_show_no_load() -> None:
     driver = zoned(live_weights=False)
     weigh(driver, {"w2": 9.0, "w3": 9.0})
     assert not any(worker.others for worker in driver.policy.workers.values())
 
 
-def test_an_idle_cold_workers_budget_is_saved_for_one_job_and_hardly_more() -> None:
+def test_an_idle_cold_worker_saves_budget_for_hardly_more_than_one_job() -> None:
     [worker], rate = ring([0]), 0.5
     worker.accrue_cold_tokens(rate, 2_000.0, 300.0, random.Random(1), 0.0)
     assert worker.accrue_cold_tokens(rate, 2_000.0, 300.0, random.Random(1), 60_000.0) <= 300.0 + 0.11 * rate * 2_000.0
 
 
-# ---- what is seen
+# ---- observations
 
 
 @DERANDOMISED
 @given(held=st.floats(0.0, 20.0), slots=st.integers(1, 16), nominal=st.floats(0.5, 50.0))
-def test_others_are_found_from_live_weights_whatever_the_size(held: float, slots: int, nominal: float) -> None:
+def test_load_of_other_nodes_is_estimated_from_live_weights_for_any_worker_size(
+    held: float, slots: int, nominal: float
+) -> None:
     known = estimates_module.Estimates()
     known.slots[:], worker = [float(slots)], ring([0])[0]
-    worker.delayed_slots_in_use = 2.0  # ours are not others'
+    worker.delayed_slots_in_use = 2.0  # the node's own slots do not count as the others'
     known.apply_weight(None, nominal, 0.0)
-    for sight in range(60):
-        known.apply_weight(worker, nominal / (1.0 + (held + 2.0) / slots), float(sight))
+    for step in range(60):
+        known.apply_weight(worker, nominal / (1.0 + (held + 2.0) / slots), float(step))
     assert worker.others == pytest.approx(held, abs=1e-3 + held * 1e-6)
-    assert used_by_others(worker, slots) == pytest.approx(worker.others)  # no part of ours: all of it is theirs
+    assert used_by_others(worker, slots) == pytest.approx(
+        worker.others
+    )  # without an own share, all slots are the others'
     worker.own_share = 1.0
     assert used_by_others(worker, slots) == pytest.approx(worker.others)
     worker.own_share = 0.5
     assert used_by_others(worker, slots) == pytest.approx(max(0.0, worker.others - slots / 2.0))
 
 
-def test_probes_teach_slots_where_answers_carry_no_report_and_starts_are_not_told() -> None:
+def test_slots_are_learned_from_probes_without_reports_in_answers_and_without_starts() -> None:
     driver = Driver(settings(probes=True, reports_with_answers=False), workers=3)
-    for probe in of(driver.tick(), api.Probe):
-        driver.tell(api.ProbeEnded(probe.worker, api.Result.OK, 1.0, {"x0": 7.9}))
+    for probe in of_type(driver.tick(), api.Probe):
+        driver.handle(api.ProbeEnded(probe.worker, api.Result.OK, 1.0, {"x0": 7.9}))
     assert driver.policy.slots == [8.0]
-    assert len(driver.sends(24)) > 12  # of four slots each
+    assert len(driver.sends(24)) > 12  # 12: the initial estimate of four slots per worker
 
 
-def test_a_lone_node_finds_that_workers_have_fewer_slots_than_it_began_with() -> None:
+def test_a_single_node_learns_that_workers_have_fewer_slots_than_the_initial_estimate() -> None:
     driver = Driver(settings(probes=True, reports_with_answers=False), workers=2)
     for _ in range(60):
-        driver.tell(api.ProbeEnded("w0", api.Result.OK, 1.0, {"x0": 1.0}), after_ms=100)
+        driver.handle(api.ProbeEnded("w0", api.Result.OK, 1.0, {"x0": 1.0}), after_ms=100)
     assert driver.policy.slots[0] == pytest.approx(1.0, abs=0.1)
 
 
-def test_progress_tells_a_slow_worker_long_before_its_job_ends() -> None:
+def test_progress_reports_show_a_slow_worker_long_before_its_job_ends() -> None:
     driver = Driver(settings(classes=(SAFE, UNSAFE), progress_ms=1_000.0), workers=1)
-    [send] = of(driver.job("a", hint_ms=1_000.0), api.Send)
-    for note in range(1, 16):  # an eightieth of a second's job in a tenth of a second: eight times slower
-        driver.tell(api.AttemptProgress("a", 0, send.worker, note / 80.0), after_ms=100)
+    [send] = of_type(driver.job("a", hint_ms=1_000.0), api.Send)
+    for note in range(1, 16):  # 1/80 of a one-second job per 100 ms: eight times slower than expected
+        driver.handle(api.AttemptProgress("a", 0, send.worker, note / 80.0), after_ms=100)
     assert driver.policy.workers["w0"].slowness > 1.0
-    assert not of(driver.job("b", hint_ms=1_000.0), api.Send)  # it can't be in time there
+    assert not of_type(driver.job("b", hint_ms=1_000.0), api.Send)  # it can't be in time there
     driver.policy.workers["w0"].slots_in_use = 0.0
-    for _ in range(100):  # a worker that tells nothing is taken for its kind again, and so tried
+    for _ in range(100):  # without observations, a worker returns to the slowness of its kind and is tried again
         driver.tick(200)
     assert driver.policy.workers["w0"].slowness < 0.5
 
 
-def test_where_nothing_is_told_slots_are_felt_and_far_workers_prove_nothing() -> None:
-    """Workers of no part of ours counted as full with any job: 17 slots were believed where there are 4."""
+def test_slots_are_inferred_from_slowdown_only_at_workers_of_the_own_share() -> None:
+    """Workers outside the own share once counted as full with any job: 17 slots were estimated instead of 4."""
     known, use = estimates_module.Estimates(), settings(free_slots_field="", reports_starts=False)
     known.slots[:], known.kind_slowness[:], known.run_ms[:], known.per_hint[:] = [2.0], [0.0], [100.0], [1.0]
     worker = ring([0])[0]
@@ -189,18 +195,18 @@
     worker.own_share = 0.0
     assert served(100.0, 50) == 2.0
     worker.own_share, worker.slots_in_use = 1.0, 0.0
-    assert served(100.0, 1) > 2.0  # full, and no slower
+    assert served(100.0, 1) > 2.0  # full, and not slower: more slots
     worker.slots_in_use = 3.0
     grown = served(100.0, 6)
-    assert 3.0 < grown < 5.0 and served(100.0, 50) < 5.2  # no further than it was full
-    assert served(300.0, 50) < grown  # slower: it has fewer
+    assert 3.0 < grown < 5.0 and served(100.0, 50) < 5.2  # grows only while the worker is full
+    assert served(300.0, 50) < grown  # slower: fewer slots
     known.shrink_slots(worker, "x0")
     before = known.slots[0]
     known.shrink_slots(worker, "")
     assert known.slots[0] == pytest.approx(max(1.0, before - estimates_module.SLOT_SHRINKAGE))
 
 
-# ---- worth
+# ---- objective
 
 
 def tracker(objective: api.ObjectiveWeights, classes: tuple[api.JobClass, ...], **changes: Any) -> ObjectiveTracker:
@@ -210,14 +216,14 @@
     return made
 
 
-def test_without_a_goal_the_order_is_by_worth_as_ever() -> None:
+def test_without_an_objective_gain_is_proportional_to_value() -> None:
     small, large = dataclasses.replace(SAFE, worth=1.0), dataclasses.replace(SAFE, worth=8.0)
     made = tracker(api.ObjectiveWeights(), (small, large))
     assert made.gain(1, large, 100.0, False) == pytest.approx(8.0 * made.gain(0, small, 100.0, False))
-    assert made.gain(1, large, 100.0, True) == 0.0  # late, it earns its late share: none
+    assert made.gain(1, large, 100.0, True) == 0.0  # a late job earns its late_share, which is 0
 
 
-def test_the_class_served_worst_gains_most_and_no_more_once_it_is_served_like_the_others() -> None:
+def test_the_worst_served_class_gains_most_until_it_is_served_like_the_others() -> None:
     small, large = dataclasses.replace(SAFE, worth=1.0), dataclasses.replace(SAFE, worth=1.5)
     made = tracker(api.ObjectiveWeights(0.65, 0.2), (small, large), value_by_work=True)
     assert made.gain(0, small, 100.0, False) < made.gain(1, large, 100.0, False)
@@ -233,11 +239,11 @@
     assert made.gain(0, small, 100.0, False) < made.gain(1, large, 100.0, False)
 
 
-def test_a_clients_retry_asks_for_nothing_new() -> None:
+def test_a_clients_retry_adds_no_requested_value() -> None:
     made = tracker(api.ObjectiveWeights(0.65, 0.2), (SAFE, UNSAFE))
-    asked, tries = list(made.requested), made.first_tries
+    requested, tries = list(made.requested), made.first_tries
     made.record_arrival(api.JobArrived("a", 0, is_retry=True), SAFE, 100.0)
-    assert made.requested == asked and made.first_tries == tries
+    assert made.requested == requested and made.first_tries == tries
 
 
 @DERANDOMISED
@@ -246,7 +252,7 @@
         st.tuples(st.integers(0, 1), st.booleans(), st.floats(1.0, 9_000.0), st.floats(0.0, 5_000.0)), max_size=60
     )
 )
-def test_gains_are_shares_of_the_goal_whatever_came_before(steps: list[tuple[int, bool, float, float]]) -> None:
+def test_gains_are_shares_of_the_objective_after_any_history(steps: list[tuple[int, bool, float, float]]) -> None:
     made, now = tracker(api.ObjectiveWeights(0.65, 0.2), (SAFE, UNSAFE), value_by_work=True), 0.0
     for index, served, size, after in steps:
         now += after
@@ -259,26 +265,26 @@
         assert sum(made.worst_chances) == pytest.approx(1.0) and made.first_tries > 0.0
 
 
-def test_a_job_that_no_worker_can_run_in_time_is_refused_and_not_sent() -> None:
+def test_a_job_that_no_worker_can_run_in_time_is_refused_without_an_attempt() -> None:
     driver = Driver(workers=2)
     for worker in driver.policy.workers.values():
         worker.slowness = 2.0
     driver.policy.kind_slowness[:] = [2.0]
     driver.job("a", hint_ms=1_000.0)
-    while not of(driver.did, api.Refuse) and driver.now < 9_000.0:
+    while not of_type(driver.all_actions, api.Refuse) and driver.now < 9_000.0:
         driver.tick(100)
-    assert not of(driver.did, api.Send) and driver.now < 1_000.0 + 5_000.0
+    assert not of_type(driver.all_actions, api.Send) and driver.now < 1_000.0 + 5_000.0
 
 
 @pytest.mark.parametrize("tells", [True, False])
-def test_among_many_nodes_room_elsewhere_is_learned_from_starts_where_these_are_told(tells: bool) -> None:
-    """With probes too, each of 40 nodes took the slots of workers it had never seen for free: 88 % came late."""
+def test_among_many_nodes_spill_is_learned_from_starts_where_workers_report_them(tells: bool) -> None:
+    """Each of 40 nodes with probes once assumed free slots at workers it had never probed: 88 % of jobs were late."""
     driver = Driver(settings(instances=40, probes=True, reports_with_answers=False, reports_starts=tells), workers=40)
     sent = driver.sends(40)
     assert len(sent) >= 8
     driver.tick(600.0)
-    for send in sent:  # they had to wait for the slots that others hold
-        driver.tell(api.AttemptProgress(send.job, 0, send.worker))
+    for send in sent:  # the starts were late, as other nodes used the slots
+        driver.handle(api.AttemptProgress(send.job, 0, send.worker))
     driver.tick()
     beyond = sum(attempt.spilled for _, _, attempt in driver.policy.jobs.outstanding())
     assert beyond and (driver.policy.spill == INITIAL_SPILL - beyond) == tells
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 
 import pytest
-from helpers import Driver, of
+from helpers import Driver, of_type
 from helpers import settings as module_settings
 from hypothesis import given
 from hypothesis import strategies as st
@@ -53,9 +53,9 @@
 def test_a_node_left_alone_places_on_the_whole_fleet_at_once() -> None:
     rules = module_settings(instances=2, number=0, reports_starts=True)
     half, alone = (Driver(rules, workers=8) for _ in range(2))
-    alone.tell(SettingsChanged(settings_among(rules, (0,))))
+    alone.handle(SettingsChanged(settings_among(rules, (0,))))
     sent = [
-        len(of([action for number in range(64) for action in driver.job(f"j{number}")], Send))
+        len(of_type([action for number in range(64) for action in driver.job(f"j{number}")], Send))
         for driver in (half, alone)
     ]
     assert sent == [16 + 8, 32]  # its arc and what it tries beyond; all slots
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from helpers import SAFE, UNSAFE, Driver, keyed, of, settings
+from helpers import SAFE, UNSAFE, Driver, keyed, of_type, settings
 
 import pipitledge.decision.free_slots as free_slots_module
 import pipitledge.decision.policy as policy_module
@@ -53,31 +53,31 @@
 
 
 def flood(driver: Driver, tenant: int, count: int) -> list[Send]:
-    return [send for index in range(count) for send in of(driver.job(f"t{tenant}-{index}", tenant=tenant), Send)]
+    return [send for index in range(count) for send in of_type(driver.job(f"t{tenant}-{index}", tenant=tenant), Send)]
 
 
 def test_a_flooding_tenant_is_refused_and_leaves_the_reservation_of_the_other() -> None:
     driver = Driver(workers=10)
     driver.learn_slots(8)
     flood(driver, 0, 500)
-    assert of(driver.did, Refuse)
+    assert of_type(driver.all_actions, Refuse)
     # One job alone passes by the sliver rule: five, its share less a deviation, show the reservation.
-    assert not [refused for index in range(5) for refused in of(driver.job(f"other-{index}", tenant=1), Refuse)]
+    assert not [refused for index in range(5) for refused in of_type(driver.job(f"other-{index}", tenant=1), Refuse)]
 
 
 def test_one_job_of_an_idle_tenant_passes_however_small_its_share() -> None:
     driver = Driver(settings(tenants=(Tenant(0.99), Tenant(0.01)), instances=150), workers=3)
     flood(driver, 0, 200)
-    assert not of(driver.job("small", tenant=1), Refuse)
+    assert not of_type(driver.job("small", tenant=1), Refuse)
 
 
 @pytest.mark.parametrize("result", list(Result))
 def test_tokens_come_back_once_however_a_job_ends(result: Result) -> None:
     driver = Driver(settings(max_attempts=1))
-    [send] = of(driver.job("a", job_class=1), Send)
+    [send] = of_type(driver.job("a", job_class=1), Send)
     driver.end(send, result)
     driver.end(send, result, closed=True)  # a repeated outcome
-    driver.tell(ClientGone("a"))
+    driver.handle(ClientGone("a"))
     assert driver.policy.inflight == [0.0, 0.0] == driver.policy.running
     assert not driver.policy.jobs and not driver.policy.pending
 
@@ -91,10 +91,10 @@
 
 def test_a_client_that_left_frees_tokens_at_once_and_the_worker_when_the_attempt_ends() -> None:
     driver = Driver()
-    [send] = of(driver.job("a"), Send)
-    driver.tell(ClientGone("a"))
+    [send] = of_type(driver.job("a"), Send)
+    driver.handle(ClientGone("a"))
     assert sum(driver.policy.inflight) == 0 and sum(driver.policy.running) == 1
-    assert not of(driver.end(send, Result.ERROR), Send)
+    assert not of_type(driver.end(send, Result.ERROR), Send)
     assert sum(driver.policy.running) == 0 and not driver.policy.jobs
 
 
@@ -104,32 +104,32 @@
 def test_a_job_waits_until_a_worker_has_room() -> None:
     driver = Driver(settings(classes=(JobClass(repeat=SAFE.repeat, objective_ms=60_000),)), workers=1)
     driver.policy.slots[:] = [1.0]
-    [first] = of(driver.job("a"), Send)
-    assert not of(driver.job("b", tenant=1), Send)
-    assert [send.job for send in of(driver.end(first), Send)] == ["b"]
+    [first] = of_type(driver.job("a"), Send)
+    assert not of_type(driver.job("b", tenant=1), Send)
+    assert [send.job for send in of_type(driver.end(first), Send)] == ["b"]
 
 
 def test_without_workers_a_held_job_is_refused_before_its_time_is_up() -> None:
     driver = Driver(workers=0)
     driver.job("a", timeout_ms=300.0)
-    while driver.now < 1_299 and not of(driver.did, Refuse):
-        driver.tell(TimerFired(0), after_ms=1)
-    assert of(driver.did, Refuse) == [Refuse("a")]
+    while driver.now < 1_299 and not of_type(driver.all_actions, Refuse):
+        driver.handle(TimerFired(0), after_ms=1)
+    assert of_type(driver.all_actions, Refuse) == [Refuse("a")]
 
 
 def test_a_held_job_gets_a_timer_before_its_patience_ends() -> None:
     driver = Driver(workers=0)
-    driver.tell(TimerFired(0), after_ms=1)
+    driver.handle(TimerFired(0), after_ms=1)
     actions = driver.job("a", timeout_ms=30.0)
-    assert min(timer.delay_ms for timer in of(actions, SetTimer)) < 30
+    assert min(timer.delay_ms for timer in of_type(actions, SetTimer)) < 30
 
 
 def test_a_stale_timer_does_not_breed_timers() -> None:
     driver = Driver()
-    before = len(of(driver.did, SetTimer))
+    before = len(of_type(driver.all_actions, SetTimer))
     for _ in range(50):
-        driver.tell(TimerFired(0))
-    assert len(of(driver.did, SetTimer)) - before <= 1
+        driver.handle(TimerFired(0))
+    assert len(of_type(driver.all_actions, SetTimer)) - before <= 1
 
 
 # ---- attempts
@@ -139,24 +139,24 @@
 @pytest.mark.parametrize("result", NOT_RUN)
 def test_what_never_ran_is_sent_again_or_refused(job_class: JobClass, result: Result) -> None:
     driver = Driver(settings(classes=(job_class,), max_attempts=2))
-    [send] = of(driver.job("a"), Send)
-    [again] = of(driver.end(send, result, after_ms=1), Send)
-    assert of(driver.end(again, result, after_ms=1), Refuse)
+    [send] = of_type(driver.job("a"), Send)
+    [again] = of_type(driver.end(send, result, after_ms=1), Send)
+    assert of_type(driver.end(again, result, after_ms=1), Refuse)
 
 
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
 def test_an_unsafe_job_that_may_have_run_fails(result: Result) -> None:
     driver = Driver(settings(classes=(UNSAFE,)))
-    [send] = of(driver.job("a"), Send)
+    [send] = of_type(driver.job("a"), Send)
     actions = driver.end(send, result, after_ms=1)
-    assert of(actions, Fail) and not of(actions, Send) and not of(actions, Refuse)
+    assert of_type(actions, Fail) and not of_type(actions, Send) and not of_type(actions, Refuse)
 
 
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
 def test_a_safe_job_that_may_have_run_is_sent_again(result: Result) -> None:
     driver = Driver(settings(classes=(SAFE,)))
-    [send] = of(driver.job("a"), Send)
-    assert of(driver.end(send, result, after_ms=1), Send)
+    [send] = of_type(driver.job("a"), Send)
+    assert of_type(driver.end(send, result, after_ms=1), Send)
 
 
 def zoned() -> list[Worker]:
@@ -168,8 +168,8 @@
     for seed in range(20):
         driver = Driver(settings(classes=(keyed(scope),), zones=2), workers=0, seed=seed)
         driver.list(zoned())
-        [send] = of(driver.job("a"), Send)
-        for again in of(driver.end(send, Result.RESET, after_ms=1), Send):
+        [send] = of_type(driver.job("a"), Send)
+        for again in of_type(driver.end(send, Result.RESET, after_ms=1), Send):
             first, second = send.worker[1:], again.worker[1:]
             assert scope is Scope.ALL or first[0] == second[0]
             assert scope is not Scope.CELL or first == second
@@ -178,27 +178,27 @@
 @pytest.mark.parametrize("scope", list(Scope))
 def test_a_keyed_job_is_not_repeated_past_its_window(scope: Scope) -> None:
     driver = Driver(settings(classes=(keyed(scope, window_ms=200),)))
-    [send] = of(driver.job("a"), Send)
+    [send] = of_type(driver.job("a"), Send)
     actions = driver.end(send, Result.RESET, after_ms=250)
     for _ in range(400):
-        actions += driver.tell(TimerFired(0), after_ms=10)
-    assert not of(actions, Send)
-    assert len(of(actions, Refuse)) == (scope is Scope.ALL)
-    assert len(of(actions, Fail)) == (scope is not Scope.ALL)
+        actions += driver.handle(TimerFired(0), after_ms=10)
+    assert not of_type(actions, Send)
+    assert len(of_type(actions, Refuse)) == (scope is Scope.ALL)
+    assert len(of_type(actions, Fail)) == (scope is not Scope.ALL)
 
 
 def test_a_time_out_at_the_deadline_is_answered_at_once() -> None:
     driver = Driver()
-    [send] = of(driver.job("a", timeout_ms=400.0), Send)
-    assert of(driver.end(send, Result.TIMEOUT, after_ms=400), Refuse)
+    [send] = of_type(driver.job("a", timeout_ms=400.0), Send)
+    assert of_type(driver.end(send, Result.TIMEOUT, after_ms=400), Refuse)
 
 
 def test_no_more_attempts_than_allowed() -> None:
     driver = Driver(settings(max_attempts=3))
-    sends = of(driver.job("a"), Send)
-    while sends and len(of(driver.did, Send)) < 10:
-        sends = of(driver.end(sends[0], Result.ERROR, after_ms=1), Send)
-    assert len(of(driver.did, Send)) == 3
+    sends = of_type(driver.job("a"), Send)
+    while sends and len(of_type(driver.all_actions, Send)) < 10:
+        sends = of_type(driver.end(sends[0], Result.ERROR, after_ms=1), Send)
+    assert len(of_type(driver.all_actions, Send)) == 3
 
 
 # ---- list
@@ -208,19 +208,19 @@
 def test_nothing_goes_to_a_worker_that_drains_or_is_gone(state: State) -> None:
     driver = Driver(workers=1)
     driver.list([Worker("w0", state)], Listing.DELTA)
-    assert not of(driver.job("a"), Send)
+    assert not of_type(driver.job("a"), Send)
 
 
 def test_a_worker_missing_from_a_full_list_is_gone() -> None:
     driver = Driver(workers=2)
     driver.list([Worker("w1")])
     for index in range(5):
-        assert all(send.worker == "w1" for send in of(driver.job(f"j{index}"), Send))
+        assert all(send.worker == "w1" for send in of_type(driver.job(f"j{index}"), Send))
 
 
 def test_a_job_out_at_a_worker_that_restarts_frees_nothing_of_the_new_one() -> None:
     driver = Driver(workers=1)
-    [send] = of(driver.job("a", job_class=1), Send)  # not sent again
+    [send] = of_type(driver.job("a", job_class=1), Send)  # not sent again
     driver.list([Worker("w0", started_ms=driver.now)], Listing.DELTA)
     driver.end(send, Result.RESET)
     assert driver.policy.workers["w0"].slots_in_use == 0
@@ -230,13 +230,13 @@
     delays = set()
     for number in range(20):
         driver = Driver(settings(must_subscribe=True, instances=20, number=number), workers=0, seed=number)
-        first = next(timer for timer in of(driver.tell(), SetTimer) if timer.token == 1)
+        first = next(timer for timer in of_type(driver.handle(), SetTimer) if timer.token == 1)
         delays.add(round(first.delay_ms))
-        assert of(driver.tell(TimerFired(1)), Subscribe)
+        assert of_type(driver.handle(TimerFired(1)), Subscribe)
         waits = []
         for _ in range(3):
-            failed = driver.tell(WorkersChanged(Listing.FAILED))
-            waits += [timer.delay_ms for timer in of(failed, SetTimer) if timer.token == 1]
+            failed = driver.handle(WorkersChanged(Listing.FAILED))
+            waits += [timer.delay_ms for timer in of_type(failed, SetTimer) if timer.token == 1]
         assert len(waits) == 3 and sum(waits[1:]) > waits[0]
     assert len(delays) > 10
 
@@ -245,8 +245,8 @@
 def test_after_many_failed_calls_a_small_tier_still_asks_soon(instances: int, most_ms: float) -> None:
     """News counts as told after 6 s: a drain that is heard of later breaks a rule."""
     driver = Driver(settings(must_subscribe=True, instances=instances, number=0), workers=0)
-    told = [driver.tell(WorkersChanged(Listing.FAILED)) for _ in range(200)]
-    waits = [timer.delay_ms for actions in told for timer in of(actions, SetTimer) if timer.token == 1]
+    told = [driver.handle(WorkersChanged(Listing.FAILED)) for _ in range(200)]
+    waits = [timer.delay_ms for actions in told for timer in of_type(actions, SetTimer) if timer.token == 1]
     assert len(waits) > 200 and max(waits) <= most_ms < 1.1 * max(waits)
 
 
@@ -280,12 +280,12 @@
             driver.policy.slots[0], driver.policy.run_ms[0] = slots, 100.0
             driver.now = 1_000.0 + 10 * step
             name = f"{index}-{step}"
-            busy = [action for action in driver.did if isinstance(action, Send)]
-            driver.did.clear()
+            busy = [action for action in driver.all_actions if isinstance(action, Send)]
+            driver.all_actions.clear()
             for send in busy:
                 driver.end(send, after_ms=0)
             driver.job(name)
-            sent += [(driver.now, 100.0)] * len(of(driver.did, Send))
+            sent += [(driver.now, 100.0)] * len(of_type(driver.all_actions, Send))
     assert sent
     for start in range(1_000, 20_000, 250):
         age = start - 1_000.0
@@ -302,18 +302,18 @@
     driver.learn_slots(4)
     sick = "w3"
     for turn in range(6):
-        sends = [send for index in range(18) for send in of(driver.job(f"a{turn}-{index}"), Send)]
+        sends = [send for index in range(18) for send in of_type(driver.job(f"a{turn}-{index}"), Send)]
         for send in sends:
             driver.end(send, Result.ERROR if send.worker == sick else Result.OK, after_ms=10, closed=True)
     assert driver.policy.workers[sick].trial
-    driver.did.clear()
+    driver.all_actions.clear()
     for turn in range(100):
-        driver.tell(TimerFired(0))
-        sends = [send for index in range(30) for send in of(driver.job(f"b{turn}-{index}"), Send)]
+        driver.handle(TimerFired(0))
+        sends = [send for index in range(30) for send in of_type(driver.job(f"b{turn}-{index}"), Send)]
         while sends:
-            sends += of(driver.end(sends.pop(0), after_ms=10), Send)
+            sends += of_type(driver.end(sends.pop(0), after_ms=10), Send)
     assert not driver.policy.workers[sick].trial
-    assert any(send.worker == sick for send in of(driver.did, Send))
+    assert any(send.worker == sick for send in of_type(driver.all_actions, Send))
 
 
 @pytest.mark.parametrize(
@@ -337,7 +337,7 @@
     driver = Driver(workers=1)
     driver.learn_slots(4)
     for turn, result in enumerate(results):
-        [send] = of(driver.job(f"a{turn}", job_class=1), Send)
+        [send] = of_type(driver.job(f"a{turn}", job_class=1), Send)
         driver.end(send, result, after_ms=5)
     assert driver.policy.workers["w0"].trial == aside
 
@@ -349,14 +349,14 @@
     driver.policy.slots[:] = [4.0]
     fails, well = (driver.policy.workers[name] for name in ("w0", "w1"))
     fails.failures, well.slowness = 0.3, 0.5  # a little faster, and not to be relied on
-    [send] = of(driver.job("a", job_class=job_class), Send)
+    [send] = of_type(driver.job("a", job_class=job_class), Send)
     assert send.worker == worker and not fails.trial
 
 
 def test_when_all_fail_alike_nobody_is_set_aside_for_long() -> None:
     driver = Driver(workers=6)
     for index in range(300):
-        for send in of(driver.job(f"a{index}"), Send):
+        for send in of_type(driver.job(f"a{index}"), Send):
             driver.end(send, Result.ERROR, after_ms=10, closed=True)
     assert len(driver.policy.ejected) <= 3
 
@@ -370,10 +370,10 @@
 ) -> None:
     driver = Driver(settings(probes=True, reports_with_answers=with_answers, probe_price=price))
     for index in range(100):
-        for send in of(driver.job(f"a{index}"), Send):
+        for send in of_type(driver.job(f"a{index}"), Send):
             driver.end(send, after_ms=10)
         driver.tick()
-    probed = [probe.worker for probe in of(driver.did, Probe)]
+    probed = [probe.worker for probe in of_type(driver.all_actions, Probe)]
     assert least <= len(probed) <= most
     # Who was asked longest ago is asked next.
     assert all(len({*probed[at : at + 4]}) == 4 for at in range(0, len(probed) - 4, 4))
@@ -392,10 +392,10 @@
     def play() -> list[object]:
         driver = Driver(workers=30)
         for index in range(200):
-            sends = of(driver.job(f"a{index}", tenant=index % 2, job_class=index % 2), Send)
+            sends = of_type(driver.job(f"a{index}", tenant=index % 2, job_class=index % 2), Send)
             for send in sends[:1] if index % 3 else []:
                 driver.end(send, Result.OK if index % 5 else Result.ERROR)
-        return list(driver.did)
+        return list(driver.all_actions)
 
     assert play() == play()
 
@@ -426,9 +426,9 @@
 def overloaded(cheap: JobClass, dear: JobClass) -> Driver:
     """One worker of one slot, busy, and every token held by waiting jobs of the cheap class."""
     driver = Driver(settings(classes=(cheap, dear), tenants=(Tenant(),)), workers=1)
-    while not of(driver.did, Refuse):
-        driver.job(f"cheap-{len(driver.did)}-{len(driver.policy.jobs)}", job_class=0)
-    driver.did.clear()
+    while not of_type(driver.all_actions, Refuse):
+        driver.job(f"cheap-{len(driver.all_actions)}-{len(driver.policy.jobs)}", job_class=0)
+    driver.all_actions.clear()
     return driver
 
 
@@ -436,7 +436,7 @@
     driver = overloaded(SAFE, JobClass(deadline_ms=5_000, objective_ms=500, worth=9.0, stretch=2.0))
     before = sum(driver.policy.inflight)
     driver.job("dear", job_class=1)
-    [refused] = of(driver.did, Refuse)
+    [refused] = of_type(driver.all_actions, Refuse)
     assert refused.job.startswith("cheap") and "dear" in driver.policy.jobs
     assert sum(driver.policy.inflight) == before
 
@@ -444,7 +444,7 @@
 def test_a_job_of_the_same_worth_does_not_push_out_another() -> None:
     driver = overloaded(SAFE, SAFE)
     driver.job("same", job_class=1)
-    assert [refused.job for refused in of(driver.did, Refuse)] == ["same"]
+    assert [refused.job for refused in of_type(driver.all_actions, Refuse)] == ["same"]
 
 
 def test_a_job_that_was_sent_is_never_pushed_out() -> None:
@@ -452,7 +452,7 @@
     sent = {job.event.job for job in driver.policy.jobs.values() if job.attempts}
     for index in range(50):
         driver.job(f"dear-{index}", job_class=1)
-    assert sent and not sent & {refused.job for refused in of(driver.did, Refuse)}
+    assert sent and not sent & {refused.job for refused in of_type(driver.all_actions, Refuse)}
 
 
 def test_a_late_job_gives_way_to_one_that_can_be_in_time() -> None:
@@ -465,7 +465,7 @@
 
 def test_a_job_of_many_slots_goes_although_no_part_has_room_for_it() -> None:
     driver = Driver(settings(instances=40, number=3), workers=30)
-    assert of(driver.job("wide", slots=4.0), Send)
+    assert of_type(driver.job("wide", slots=4.0), Send)
 
 
 def test_when_nothing_else_has_room_a_late_job_warms_our_own_cold_worker() -> None:
@@ -475,13 +475,13 @@
     driver.list([Worker("cold", started_ms=driver.now)])
     driver.policy.slots[0] = 8.0
     driver.now += 2_000
-    assert of(driver.job("a", timeout_ms=60_000.0), Send)
+    assert of_type(driver.job("a", timeout_ms=60_000.0), Send)
 
 
 def test_the_spill_falls_where_there_was_no_room_and_grows_where_there_was() -> None:
     driver = Driver(settings(instances=9, number=0), workers=9)
     for result, sign in ((Result.FULL, -1), (Result.OK, 1)):
-        sends = [send for index in range(6) for send in of(driver.job(f"{result}{index}"), Send)]
+        sends = [send for index in range(6) for send in of_type(driver.job(f"{result}{index}"), Send)]
         before = driver.policy.spill
         jobs = driver.policy.jobs
         send = next(send for send in sends if jobs[send.job].attempts[0].spilled)
@@ -495,7 +495,7 @@
     driver.policy.slots[:], sends = [8.0], []
     for index in range(4):
         driver.now += 1.0
-        sends += of(driver.job(f"a{index}"), Send)
+        sends += of_type(driver.job(f"a{index}"), Send)
     driver.policy.slots[:] = [known]
     return driver, sends
 
@@ -504,12 +504,12 @@
     """A worker under load reports a slot or two free; believed to have no more, it stood half idle."""
     driver, sends = four_out(1.0)
     for send in sends:
-        driver.tell(AttemptProgress(send.job, 0, send.worker))
+        driver.handle(AttemptProgress(send.job, 0, send.worker))
     driver.policy.next_tick_ms = 0.0
-    driver.tell(TimerFired(0), after_ms=5)  # a start may overtake the end of the job before it
+    driver.handle(TimerFired(0), after_ms=5)  # a start may overtake the end of the job before it
     assert driver.policy.slots == [1.0]
     driver.policy.next_tick_ms = 0.0
-    driver.tell(TimerFired(0), after_ms=20)
+    driver.handle(TimerFired(0), after_ms=20)
     assert driver.policy.slots == [4.0]
     for send in sends:
         driver.end(send, free=1.0)
@@ -525,9 +525,9 @@
     """Not one that was overtaken: its connection is silent. And not among several nodes: others' jobs run."""
     driver, sends = four_out(8.0, instances=instances)
     for number in started:
-        driver.tell(AttemptProgress(sends[number].job, 0, sends[number].worker), after_ms=1)
+        driver.handle(AttemptProgress(sends[number].job, 0, sends[number].worker), after_ms=1)
     driver.policy.next_tick_ms = 0.0
-    driver.tell(TimerFired(0), after_ms=50)
+    driver.handle(TimerFired(0), after_ms=50)
     assert driver.policy.slots == [pytest.approx(8.0 - 0.1 * 5.0 if lower else 8.0)]
 
 
@@ -535,9 +535,9 @@
 def test_elsewhere_a_start_at_once_tells_of_more_room_and_a_late_one_of_none(after_ms: float, free: float) -> None:
     """Reports are a second old when they come: a node left alone refused while the others' workers idled."""
     driver = Driver(settings(instances=9, number=0, reports_starts=True), workers=9)
-    sends = [send for index in range(9) for send in of(driver.job(f"a{index}"), Send)]
+    sends = [send for index in range(9) for send in of_type(driver.job(f"a{index}"), Send)]
     send = next(send for send in sends if driver.policy.jobs[send.job].attempts[0].spilled)
-    driver.tell(AttemptProgress(send.job, 0, send.worker), after_ms=after_ms)
+    driver.handle(AttemptProgress(send.job, 0, send.worker), after_ms=after_ms)
     worker = driver.policy.workers[send.worker]
     assert (worker.free, worker.reported_ms) == (free, driver.now)
 
@@ -555,8 +555,8 @@
     driver = Driver(settings(reports_starts=True, progress_ms=2_000.0, cancel=True), workers=1)
     driver.policy.run_ms[:], driver.policy.dead, driver.policy.spill = [100.0, 100.0], dead, 0.0
     driver.policy.slots[:] = [1.0]
-    [send] = of(driver.job("silent"), Send)
-    driver.tell(AttemptProgress("silent", 0, "w0"), after_ms=10)
+    [send] = of_type(driver.job("silent"), Send)
+    driver.handle(AttemptProgress("silent", 0, "w0"), after_ms=10)
     return driver, send
 
 
@@ -564,26 +564,26 @@
 def test_an_overdue_attempt_gives_slots_back_as_far_as_such_ones_are_dead(dead: float, sent: bool) -> None:
     """Connections that fell silent held their slots for the client's whole patience; long jobs do rightly."""
     driver, send = silent(dead)
-    driver.tell(TimerFired(0), after_ms=300)
-    assert not of(driver.job("early"), Send) and driver.policy.inflight[0] == 2.0
-    driver.tell(ClientGone("early"))
-    driver.tell(TimerFired(0), after_ms=400)
+    driver.handle(TimerFired(0), after_ms=300)
+    assert not of_type(driver.job("early"), Send) and driver.policy.inflight[0] == 2.0
+    driver.handle(ClientGone("early"))
+    driver.handle(TimerFired(0), after_ms=400)
     assert driver.policy.inflight[0] == (0.0 if dead else 1.0)
-    assert bool(of(driver.job("late"), Send)) == sent
+    assert bool(of_type(driver.job("late"), Send)) == sent
     driver.end(send, attempt=0)
     assert driver.policy.dead == pytest.approx(0.9 * dead)  # this one was alive
-    driver.tell(ClientGone("late"))
+    driver.handle(ClientGone("late"))
     assert driver.policy.inflight[0] == 0.0
 
 
 def test_an_attempt_without_a_sign_of_life_is_given_up_once() -> None:
     driver, send = silent(0.0)
-    driver.tell(AttemptProgress("silent", 0, "w0", 0.5), after_ms=2_000)  # long, but alive
+    driver.handle(AttemptProgress("silent", 0, "w0", 0.5), after_ms=2_000)  # long, but alive
     for _ in range(22):
-        assert not of(driver.tell(TimerFired(0), after_ms=100), Cancel)
+        assert not of_type(driver.handle(TimerFired(0), after_ms=100), Cancel)
     driver.policy.next_tick_ms = 0.0
-    assert of(driver.tell(TimerFired(0), after_ms=300), Cancel) == [Cancel("silent", 0)]
-    assert not of(driver.tell(TimerFired(0), after_ms=300), Cancel)
+    assert of_type(driver.handle(TimerFired(0), after_ms=300), Cancel) == [Cancel("silent", 0)]
+    assert not of_type(driver.handle(TimerFired(0), after_ms=300), Cancel)
     driver.end(send, Result.CANCELLED)
     assert driver.policy.dead == pytest.approx(0.1) and not driver.policy.workers["w0"].slots_in_use
 
@@ -593,7 +593,7 @@
     driver.policy.slots[:] = [4.0]
     for index in range(3):
         driver.job(f"a{index}")
-    driver.tell(TimerFired(0), after_ms=700)
+    driver.handle(TimerFired(0), after_ms=700)
     assert driver.policy.workers["w0"].trial
 
 
@@ -601,7 +601,7 @@
     driver = Driver(workers=4)
     driver.policy.slots[:] = [2.0]
     for turn in range(20):
-        sends = [send for index in range(8) for send in of(driver.job(f"{turn}-{index}"), Send)]
+        sends = [send for index in range(8) for send in of_type(driver.job(f"{turn}-{index}"), Send)]
         for send in sends:
             driver.policy.fleet_failures = 0.4  # what the rest of a large fleet would keep it at
             result = Result.CONNECT_FAILED if send.worker == "w2" else Result.OK
@@ -613,17 +613,17 @@
     driver = overloaded(SAFE, SAFE)
     for index in range(30):
         driver.job(f"none-{index}", slots=0.0, job_class=1)
-    assert len(driver.policy.jobs) + len(of(driver.did, Refuse)) >= 30
+    assert len(driver.policy.jobs) + len(of_type(driver.all_actions, Refuse)) >= 30
 
 
 @pytest.mark.parametrize("told, most, advice", [(True, 2_000.0, 2_000.0), (True, 0.0, 0.0), (False, 2_000.0, 0.0)])
 def test_a_refusal_says_when_to_return_where_the_site_passes_it_on(told: bool, most: float, advice: float) -> None:
     use = settings(classes=(SAFE,), retry_after=told, max_retry_after_ms=most)
     driver = Driver(use, workers=1)
-    while not of(driver.did, Refuse):  # refused for want of tokens
+    while not of_type(driver.all_actions, Refuse):  # refused for want of tokens
         driver.job(f"a{len(driver.policy.jobs)}")
-    driver.tell(TimerFired(0), after_ms=4_990)  # and what was held is given up
-    refused = of(driver.did, Refuse)
+    driver.handle(TimerFired(0), after_ms=4_990)  # and what was held is given up
+    refused = of_type(driver.all_actions, Refuse)
     assert len(refused) > 1 and {refusal.retry_after_ms for refusal in refused} == {advice}
 
 
@@ -633,14 +633,14 @@
     flood(driver, 0, 12)
     useful, due = min(job.latest_start_ms for job in driver.policy.pending.jobs()), list[float]()
     driver.now = useful - 1.0
-    due += [driver.now + action.delay_ms for action in of(driver.tell(TimerFired(0)), SetTimer)]
+    due += [driver.now + action.delay_ms for action in of_type(driver.handle(TimerFired(0)), SetTimer)]
     for count in range(40):  # every millisecond something happens; a timer fires when it is due
         actions = driver.job(f"x{count}", timeout_ms=1.0)
         driver.now += 1.0
         if any(time <= driver.now for time in due):
-            actions += driver.tell(TimerFired(0))
+            actions += driver.handle(TimerFired(0))
         due = [time for time in due if time > driver.now]
-        due += [driver.now + action.delay_ms for action in of(actions, SetTimer)]
+        due += [driver.now + action.delay_ms for action in of_type(actions, SetTimer)]
     assert not [job for job in driver.policy.pending.jobs() if job.latest_start_ms < driver.now - 8.0]
 
 
@@ -652,10 +652,10 @@
         driver = Driver(
             settings(reports_starts=True, cancel=True, progress_ms=2_000.0, starts_in_order=starts_in_order), workers=1
         )
-        [silent] = of(driver.job("silent", job_class=job_class), Send)
+        [silent] = of_type(driver.job("silent", job_class=job_class), Send)
         for number in range(3):
-            [send] = of(driver.tell(JobArrived(f"j{number}", timeout_ms=5_000.0), after_ms=60.0), Send)
-            driver.tell(AttemptProgress(send.job, 0, send.worker), after_ms=2.0)
+            [send] = of_type(driver.handle(JobArrived(f"j{number}", timeout_ms=5_000.0), after_ms=60.0), Send)
+            driver.handle(AttemptProgress(send.job, 0, send.worker), after_ms=2.0)
             driver.end(send, after_ms=60.0)
         return driver, silent
 
@@ -663,12 +663,12 @@
         driver, silent = driver_of(starts_in_order)
         worker = driver.policy.workers[silent.worker]
         assert worker.slots_in_use == 1
-        did = driver.tell(TimerFired(0), after_ms=200.0)
-        assert (Cancel("silent", 0) in did) == (cancels and starts_in_order)
+        actions = driver.handle(TimerFired(0), after_ms=200.0)
+        assert (Cancel("silent", 0) in actions) == (cancels and starts_in_order)
         assert worker.slots_in_use == (0 if starts_in_order else 1)
     driver, silent = driver_of(True)
-    driver.tell(AttemptProgress("silent", 0, silent.worker))  # late, but it lives
-    assert not of(driver.tell(TimerFired(0), after_ms=300.0), Cancel)
+    driver.handle(AttemptProgress("silent", 0, silent.worker))  # late, but it lives
+    assert not of_type(driver.handle(TimerFired(0), after_ms=300.0), Cancel)
 
 
 # ---- settings and lists that change under a job
@@ -692,14 +692,14 @@
 ) -> None:
     driver = Driver(settings(classes=(before,)), workers=0 if state == "held" else 4)
     driver.job("a")
-    driver.tell(SettingsChanged(settings(classes=(after,))))
+    driver.handle(SettingsChanged(settings(classes=(after,))))
     if state == "held":
         driver.list([Worker(f"w{index}") for index in range(4)])
-    [send] = of(driver.did, Send)
+    [send] = of_type(driver.all_actions, Send)
     assert driver.policy.jobs["a"].cls is before
-    did = driver.end(send, Result.RESET)
-    assert bool(of(did, Send)) == (before.repeat is not Repeat.UNSAFE)
-    assert bool(of(did, Fail)) == (before.repeat is Repeat.UNSAFE)
+    actions = driver.end(send, Result.RESET)
+    assert bool(of_type(actions, Send)) == (before.repeat is not Repeat.UNSAFE)
+    assert bool(of_type(actions, Fail)) == (before.repeat is Repeat.UNSAFE)
     driver.job("b")
     assert driver.policy.jobs["b"].cls is after
 
@@ -708,8 +708,8 @@
 def test_a_drain_takes_back_what_has_not_gone_out_and_places_it_anew(retry_on: frozenset[Result]) -> None:
     """Whatever a plan says of outcomes: an attempt that we took back is none of them."""
     driver = Driver(workers=2)
-    [send] = of(driver.job("a", job_class=1, plan=Plan(retry_on=retry_on)), Send)
-    did = driver.list([Worker(send.worker, State.DRAINING)], Listing.DELTA)
-    assert of(did, Withdraw) == [Withdraw("a", 0)]
-    [again] = of(driver.end(send, Result.NOT_SENT), Send)
+    [send] = of_type(driver.job("a", job_class=1, plan=Plan(retry_on=retry_on)), Send)
+    actions = driver.list([Worker(send.worker, State.DRAINING)], Listing.DELTA)
+    assert of_type(actions, Withdraw) == [Withdraw("a", 0)]
+    [again] = of_type(driver.end(send, Result.NOT_SENT), Send)
     assert again.worker != send.worker
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from helpers import COLD, SAFE, UNSAFE, Driver, keyed, of, settings
+from helpers import COLD, SAFE, UNSAFE, Driver, keyed, of_type, settings
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -41,8 +41,8 @@
         self.sends: dict[str, list[tuple[str, float, Result | None]]] = {}
         self.states: dict[str, State] = {}
 
-    def tell(self, *events: object, after_ms: float = 0.0) -> None:
-        self.judge(self.driver.tell(*events, after_ms=after_ms))  # type: ignore[arg-type]
+    def handle(self, *events: object, after_ms: float = 0.0) -> None:
+        self.judge(self.driver.handle(*events, after_ms=after_ms))  # type: ignore[arg-type]
 
     def judge(self, actions: list[object]) -> None:
         now = self.driver.now
@@ -84,7 +84,7 @@
             if result is Result.OK:
                 self.open.pop(job, None)
             report, closed = {"x0": float(which)}, job not in self.open
-            self.tell(AttemptEnded(job, index, worker, result, 1.0, closed, report))
+            self.handle(AttemptEnded(job, index, worker, result, 1.0, closed, report))
 
     def overdue(self) -> None:
         """Attempts end at the client's deadline at the latest; then every job must have its answer."""
@@ -94,7 +94,7 @@
             for index, (worker, at, result) in enumerate(self.sends.get(job, [])):
                 if result is None:
                     self.sends[job][index] = (worker, at, Result.TIMEOUT)
-                    self.tell(AttemptEnded(job, index, worker, Result.TIMEOUT, 1.0, job not in self.open))
+                    self.handle(AttemptEnded(job, index, worker, Result.TIMEOUT, 1.0, job not in self.open))
             assert job not in self.open, "no answer in time"
 
 
@@ -139,25 +139,25 @@
         if step == "j":
             name, patience = f"j{number}", 50.0 + a
             checked.open[name] = (b % len(chosen), now + patience)
-            checked.tell(JobArrived(name, b % len(chosen), a % tenants, patience, 1.0 + b % 3))
+            checked.handle(JobArrived(name, b % len(chosen), a % tenants, patience, 1.0 + b % 3))
         elif step == "o":
             checked.end(a, b)
         elif step == "g" and checked.open:
             gone = list(checked.open)[a % len(checked.open)]
             del checked.open[gone]
-            checked.tell(ClientGone(gone))
+            checked.handle(ClientGone(gone))
         elif step == "l" and rows:
             row = rows[a % len(rows)]
             state = list(State)[b % 3]
             checked.states[row.id] = state
-            checked.tell(WorkersChanged(Listing.DELTA, (row._replace(state=state),)))
+            checked.handle(WorkersChanged(Listing.DELTA, (row._replace(state=state),)))
         elif step == "n" and checked.outstanding():
             job, index = checked.outstanding()[a % len(checked.outstanding())]
-            checked.tell(AttemptProgress(job, index, checked.sends[job][index][0], b / 8.0))
+            checked.handle(AttemptProgress(job, index, checked.sends[job][index][0], b / 8.0))
         elif step == "r":
-            checked.tell(AttemptEnded(f"j{a}", b, "nobody", Result.OK, 1.0, True))  # for nothing of ours
+            checked.handle(AttemptEnded(f"j{a}", b, "nobody", Result.OK, 1.0, True))  # for nothing of ours
         for _ in range(a // 20 if step == "t" else 0):
-            checked.tell(TimerFired(0), after_ms=1.0)
+            checked.handle(TimerFired(0), after_ms=1.0)
             checked.overdue()
         policy = checked.driver.policy
         assert min(policy.inflight) >= 0 and min(policy.running) >= 0
@@ -167,7 +167,7 @@
         assert all(worker.slots_in_use >= 0 for worker in policy.workers.values())
         assert {job.event.job for job in policy.jobs.values() if job.open} == set(checked.open)
     while checked.open:
-        checked.tell(TimerFired(0), after_ms=1.0)
+        checked.handle(TimerFired(0), after_ms=1.0)
         checked.overdue()
     policy = checked.driver.policy
     while checked.outstanding():
@@ -199,11 +199,11 @@
     driver.list([Worker("cold", started_ms=driver.now)], Listing.DELTA)
     sent, running = list[float](), list[tuple[float, Send]]()
     for number, gap in enumerate(gaps):
-        driver.tell(TimerFired(0), after_ms=float(gap))
+        driver.handle(TimerFired(0), after_ms=float(gap))
         for at, send in [(at, send) for at, send in running if at <= driver.now]:
             running.remove((at, send))
             driver.end(send, Result.OK, after_ms=0.0)
-        for send in of(driver.job(f"j{number}", timeout_ms=2_000.0), Send):
+        for send in of_type(driver.job(f"j{number}", timeout_ms=2_000.0), Send):
             running.append((driver.now + run_ms, send))
             if send.worker == "cold":
                 sent.append(driver.now)
@@ -230,7 +230,7 @@
     checked.states = {row.id: State.SERVING for row in rows}
     checked.driver.list(rows, Listing.FULL)
     checked.open["job"] = (0, checked.driver.now + 5_000.0)
-    checked.tell(JobArrived("job", 0, 0, 5_000.0))
+    checked.handle(JobArrived("job", 0, 0, 5_000.0))
     for gap in gaps:
         if checked.outstanding():
             index = checked.outstanding()[0][1]
@@ -238,7 +238,7 @@
             # The first may have run; what follows in its own group is turned away, proven never to have run.
             result = Result.RESET if index == 0 else Result.FULL
             checked.sends["job"][index] = worker, at, result
-            checked.tell(
+            checked.handle(
                 AttemptEnded("job", index, worker, result, float(gap), False, {"x0": 0.0}), after_ms=float(gap)
             )
-        checked.tell(TimerFired(0), after_ms=float(gap))
+        checked.handle(TimerFired(0), after_ms=float(gap))
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from helpers import COLD, SAFE, UNSAFE, Driver, of
+from helpers import COLD, SAFE, UNSAFE, Driver, of_type
 from helpers import settings as module_settings
 from hypothesis import given
 from hypothesis import strategies as st
@@ -151,28 +151,28 @@
 
 def test_jobs_under_way_keep_their_class_and_fewer_attempts_hold_at_once() -> None:
     driver = Driver(module_settings(max_attempts=3), workers=3)
-    [safe] = of(driver.job("safe"), Send)
-    [other] = of(driver.job("other"), Send)
+    [safe] = of_type(driver.job("safe"), Send)
+    [other] = of_type(driver.job("other"), Send)
     stricter = module_settings(
         classes=(UNSAFE, UNSAFE, SAFE), max_attempts=2, tenants=(Tenant(0.0), Tenant(0.5), Tenant(0.5))
     )
-    driver.tell(SettingsChanged(stricter))
-    [again] = of(driver.end(safe, Result.ERROR), Send)  # its class was safe to repeat when it came
-    assert of(driver.end(again, Result.ERROR), Refuse)  # the second attempt was the last
-    [new] = of(driver.job("new", tenant=2, job_class=2), Send)
-    assert of(driver.end(new, Result.ERROR), Send)
-    [once] = of(driver.job("once"), Send)
-    assert not of(driver.end(once, Result.ERROR), Send)  # class 0 must not be repeated from now on
-    driver.tell(
+    driver.handle(SettingsChanged(stricter))
+    [again] = of_type(driver.end(safe, Result.ERROR), Send)  # its class was safe to repeat when it came
+    assert of_type(driver.end(again, Result.ERROR), Refuse)  # the second attempt was the last
+    [new] = of_type(driver.job("new", tenant=2, job_class=2), Send)
+    assert of_type(driver.end(new, Result.ERROR), Send)
+    [once] = of_type(driver.job("once"), Send)
+    assert not of_type(driver.end(once, Result.ERROR), Send)  # class 0 must not be repeated from now on
+    driver.handle(
         SettingsChanged(
             module_settings(
                 classes=(UNSAFE, UNSAFE, SAFE), max_attempts=9, tenants=(Tenant(0.0), Tenant(0.5), Tenant(0.5))
             )
         )
     )
-    [second] = of(driver.end(other, Result.ERROR), Send)
-    [third] = of(driver.end(second, Result.ERROR), Send)
-    assert not of(driver.end(third, Result.ERROR), Send)  # three were allowed when it came
+    [second] = of_type(driver.end(other, Result.ERROR), Send)
+    [third] = of_type(driver.end(second, Result.ERROR), Send)
+    assert not of_type(driver.end(third, Result.ERROR), Send)  # three were allowed when it came
     assert driver.policy.settings.classes[0].repeat is Repeat.UNSAFE
 
 
@@ -189,7 +189,7 @@
     learned = json.loads(json.dumps(learned_by(elder.policy, names)))
     given = inherited(learned, other, heir.policy)
     assert given is not None
-    heir.tell(given)
+    heir.handle(given)
     assert heir.policy.slots == elder.policy.slots[::-1] and heir.policy.run_ms[0] == elder.policy.run_ms[1]
     for name, worker in heir.policy.workers.items():
         assert (worker.slowness, worker.cold_tokens, worker.tried) == (
@@ -199,7 +199,7 @@
         )
     assert any(worker.tried for worker in heir.policy.workers.values())
     heir.learn_slots(6.0, 8)
-    assert len(of(heir.did, Send)) == 8
+    assert len(of_type(heir.all_actions, Send)) == 8
     for broken in ({}, {"run_ms": 5}, learned | {"spill": "much"}, learned | {"workers": [1]}):
         assert inherited(broken, other, heir.policy) is None
 
@@ -208,8 +208,8 @@
     driver = Driver(module_settings(classes=(SAFE, UNSAFE), **COLD), workers=3)
     driver.learn_slots(4.0, 5)
     driver.list([Worker("w1", started_ms=driver.now)], Listing.DELTA)
-    first = of(driver.job("unsafe", job_class=1), Send) + of(driver.job("safe"), Send)
-    second = of(driver.job("next"), Send)
+    first = of_type(driver.job("unsafe", job_class=1), Send) + of_type(driver.job("safe"), Send)
+    second = of_type(driver.job("next"), Send)
     assert [send.worker == "w1" for send in first + second] == [False, True, False]
 
 
