--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The policy's guards, each without the bench."""
+"""Unit tests of the dispatch policy."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 MAY_HAVE_RUN = [Result.ERROR, Result.RESET, Result.TIMEOUT, Result.CANCELLED]
 
 
-def test_the_module_keeps_its_line_limits() -> None:
+def test_the_policy_module_stays_within_its_line_limits() -> None:
     lines = (ROOT / "pipitledge" / "decision" / "policy.py").read_text().splitlines()
     assert len([line for line in lines if line.strip()]) <= 500
     assert max(map(len, lines)) <= 110
@@ -56,40 +56,40 @@
     return [send for index in range(count) for send in of_type(driver.job(f"t{tenant}-{index}", tenant=tenant), Send)]
 
 
-def test_a_flooding_tenant_is_refused_and_leaves_the_reservation_of_the_other() -> None:
+def test_a_flooding_tenant_is_refused_and_the_other_keeps_its_reservation() -> None:
     driver = Driver(workers=10)
     driver.learn_slots(8)
     flood(driver, 0, 500)
     assert of_type(driver.all_actions, Refuse)
-    # One job alone passes by the sliver rule: five, its share less a deviation, show the reservation.
+    # One job of an idle tenant always passes; five jobs (its share less a deviation) show the reservation.
     assert not [refused for index in range(5) for refused in of_type(driver.job(f"other-{index}", tenant=1), Refuse)]
 
 
-def test_one_job_of_an_idle_tenant_passes_however_small_its_share() -> None:
+def test_one_job_of_an_idle_tenant_is_admitted_however_small_its_share() -> None:
     driver = Driver(settings(tenants=(Tenant(0.99), Tenant(0.01)), instances=150), workers=3)
     flood(driver, 0, 200)
     assert not of_type(driver.job("small", tenant=1), Refuse)
 
 
 @pytest.mark.parametrize("result", list(Result))
-def test_tokens_come_back_once_however_a_job_ends(result: Result) -> None:
+def test_tokens_are_returned_once_however_a_job_ends(result: Result) -> None:
     driver = Driver(settings(max_attempts=1))
     [send] = of_type(driver.job("a", job_class=1), Send)
     driver.end(send, result)
-    driver.end(send, result, closed=True)  # a repeated outcome
+    driver.end(send, result, closed=True)  # a repeated event
     driver.handle(ClientGone("a"))
     assert driver.policy.inflight == [0.0, 0.0] == driver.policy.running
     assert not driver.policy.jobs and not driver.policy.pending
 
 
-def test_a_job_told_twice_takes_its_tokens_once() -> None:
+def test_a_repeated_arrival_event_takes_tokens_once() -> None:
     driver = Driver()
     driver.job("a")
     driver.job("a")
     assert sum(driver.policy.inflight) == 1
 
 
-def test_a_client_that_left_frees_tokens_at_once_and_the_worker_when_the_attempt_ends() -> None:
+def test_a_client_disconnect_frees_tokens_at_once_and_worker_slots_when_the_attempt_ends() -> None:
     driver = Driver()
     [send] = of_type(driver.job("a"), Send)
     driver.handle(ClientGone("a"))
@@ -98,10 +98,10 @@
     assert sum(driver.policy.running) == 0 and not driver.policy.jobs
 
 
-# ---- held queue
+# ---- pending queue
 
 
-def test_a_job_waits_until_a_worker_has_room() -> None:
+def test_a_job_waits_until_a_worker_has_a_free_slot() -> None:
     driver = Driver(settings(classes=(JobClass(repeat=SAFE.repeat, objective_ms=60_000),)), workers=1)
     driver.policy.slots[:] = [1.0]
     [first] = of_type(driver.job("a"), Send)
@@ -109,7 +109,7 @@
     assert [send.job for send in of_type(driver.end(first), Send)] == ["b"]
 
 
-def test_without_workers_a_held_job_is_refused_before_its_time_is_up() -> None:
+def test_without_workers_a_pending_job_is_refused_before_its_timeout() -> None:
     driver = Driver(workers=0)
     driver.job("a", timeout_ms=300.0)
     while driver.now < 1_299 and not of_type(driver.all_actions, Refuse):
@@ -117,14 +117,14 @@
     assert of_type(driver.all_actions, Refuse) == [Refuse("a")]
 
 
-def test_a_held_job_gets_a_timer_before_its_patience_ends() -> None:
+def test_a_pending_job_gets_a_timer_before_its_timeout() -> None:
     driver = Driver(workers=0)
     driver.handle(TimerFired(0), after_ms=1)
     actions = driver.job("a", timeout_ms=30.0)
     assert min(timer.delay_ms for timer in of_type(actions, SetTimer)) < 30
 
 
-def test_a_stale_timer_does_not_breed_timers() -> None:
+def test_a_stale_timer_sets_no_further_timers() -> None:
     driver = Driver()
     before = len(of_type(driver.all_actions, SetTimer))
     for _ in range(50):
@@ -137,7 +137,7 @@
 
 @pytest.mark.parametrize("job_class", [SAFE, UNSAFE, keyed(Scope.ALL), keyed(Scope.ZONE), keyed(Scope.CELL)])
 @pytest.mark.parametrize("result", NOT_RUN)
-def test_what_never_ran_is_sent_again_or_refused(job_class: JobClass, result: Result) -> None:
+def test_a_job_that_never_ran_is_retried_or_refused(job_class: JobClass, result: Result) -> None:
     driver = Driver(settings(classes=(job_class,), max_attempts=2))
     [send] = of_type(driver.job("a"), Send)
     [again] = of_type(driver.end(send, result, after_ms=1), Send)
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
-def test_a_safe_job_that_may_have_run_is_sent_again(result: Result) -> None:
+def test_a_safe_job_that_may_have_run_is_retried(result: Result) -> None:
     driver = Driver(settings(classes=(SAFE,)))
     [send] = of_type(driver.job("a"), Send)
     assert of_type(driver.end(send, result, after_ms=1), Send)
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize("scope", list(Scope))
-def test_a_keyed_job_that_may_have_run_stays_in_its_group(scope: Scope) -> None:
+def test_a_keyed_job_that_may_have_run_is_retried_in_its_group_only(scope: Scope) -> None:
     for seed in range(20):
         driver = Driver(settings(classes=(keyed(scope),), zones=2), workers=0, seed=seed)
         driver.list(zoned())
@@ -176,7 +176,7 @@
 
 
 @pytest.mark.parametrize("scope", list(Scope))
-def test_a_keyed_job_is_not_repeated_past_its_window(scope: Scope) -> None:
+def test_a_keyed_job_is_not_retried_after_its_window(scope: Scope) -> None:
     driver = Driver(settings(classes=(keyed(scope, window_ms=200),)))
     [send] = of_type(driver.job("a"), Send)
     actions = driver.end(send, Result.RESET, after_ms=250)
@@ -187,7 +187,7 @@
     assert len(of_type(actions, Fail)) == (scope is not Scope.ALL)
 
 
-def test_a_time_out_at_the_deadline_is_answered_at_once() -> None:
+def test_a_timeout_at_the_deadline_is_answered_at_once() -> None:
     driver = Driver()
     [send] = of_type(driver.job("a", timeout_ms=400.0), Send)
     assert of_type(driver.end(send, Result.TIMEOUT, after_ms=400), Refuse)
@@ -201,11 +201,11 @@
     assert len(of_type(driver.all_actions, Send)) == 3
 
 
-# ---- list
+# ---- worker list
 
 
 @pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
-def test_nothing_goes_to_a_worker_that_drains_or_is_gone(state: State) -> None:
+def test_no_job_is_sent_to_a_draining_or_gone_worker(state: State) -> None:
     driver = Driver(workers=1)
     driver.list([Worker("w0", state)], Listing.DELTA)
     assert not of_type(driver.job("a"), Send)
@@ -218,7 +218,7 @@
         assert all(send.worker == "w1" for send in of_type(driver.job(f"j{index}"), Send))
 
 
-def test_a_job_out_at_a_worker_that_restarts_frees_nothing_of_the_new_one() -> None:
+def test_a_job_of_before_a_worker_restart_frees_no_slots_of_the_restarted_worker() -> None:
     driver = Driver(workers=1)
     [send] = of_type(driver.job("a", job_class=1), Send)  # not sent again
     driver.list([Worker("w0", started_ms=driver.now)], Listing.DELTA)
@@ -226,7 +226,7 @@
     assert driver.policy.workers["w0"].slots_in_use == 0
 
 
-def test_schedulers_ask_for_the_list_at_different_times_and_again_after_a_failure() -> None:
+def test_nodes_request_the_list_at_different_times_and_retry_after_a_failure() -> None:
     delays = set()
     for number in range(20):
         driver = Driver(settings(must_subscribe=True, instances=20, number=number), workers=0, seed=number)
@@ -242,11 +242,11 @@
 
 
 @pytest.mark.parametrize("instances, most_ms", [(2, 2_250.0), (20, 12_000.0)])
-def test_after_many_failed_calls_a_small_tier_still_asks_soon(instances: int, most_ms: float) -> None:
-    """News counts as told after 6 s: a drain that is heard of later breaks a rule."""
+def test_after_many_failed_requests_a_small_tier_still_retries_soon(instances: int, most_ms: float) -> None:
+    """A drain counts as announced after 6 s; a node that learns of it later breaks a rule."""
     driver = Driver(settings(must_subscribe=True, instances=instances, number=0), workers=0)
-    told = [driver.handle(WorkersChanged(Listing.FAILED)) for _ in range(200)]
-    waits = [timer.delay_ms for actions in told for timer in of_type(actions, SetTimer) if timer.token == 1]
+    replies = [driver.handle(WorkersChanged(Listing.FAILED)) for _ in range(200)]
+    waits = [timer.delay_ms for actions in replies for timer in of_type(actions, SetTimer) if timer.token == 1]
     assert len(waits) > 200 and max(waits) <= most_ms < 1.1 * max(waits)
 
 
@@ -261,16 +261,16 @@
 
 
 @pytest.mark.parametrize("count", [1, 3, 40, 150])
-def test_parts_of_a_worker_add_up_to_one(count: int) -> None:
+def test_own_shares_of_a_worker_add_up_to_one(count: int) -> None:
     rows = [Worker(f"w{index}", started_ms=900.0 * (index % 3 == 0)) for index in range(11)]
     made = drivers(count, rows)
     for row in rows:
-        parts = [driver.policy.workers[row.id].own_share for driver in made]
-        assert sum(parts) == pytest.approx(1.0)
+        shares = [driver.policy.workers[row.id].own_share for driver in made]
+        assert sum(shares) == pytest.approx(1.0)
 
 
 @pytest.mark.parametrize("count", [1, 4, 150])
-def test_all_schedulers_together_keep_a_cold_workers_budget_and_do_not_starve_it(count: int) -> None:
+def test_all_nodes_together_stay_within_a_cold_workers_budget_and_do_not_starve_it(count: int) -> None:
     rules = {"cold_share": 0.2, "cold_ms": 20_000.0, "overload_factor": 2.0, "fall_ms": 1_000.0}
     classes = (JobClass(objective_ms=100, stretch=10.0, deadline_ms=60_000, repeat=SAFE.repeat),)
     made = drivers(count, [Worker("cold", started_ms=1_000.0)], classes=classes, **rules)
@@ -297,7 +297,7 @@
 # ---- health
 
 
-def test_a_worker_that_fails_is_set_aside_and_let_back_by_trial() -> None:
+def test_a_failing_worker_is_ejected_and_returns_after_successful_trials() -> None:
     driver = Driver(workers=6)
     driver.learn_slots(4)
     sick = "w3"
@@ -317,7 +317,7 @@
 
 
 @pytest.mark.parametrize(
-    "results, aside",
+    "results, ejected",
     [
         ([Result.ERROR] * 2, False),
         ([Result.ERROR] * 3, True),
@@ -329,31 +329,32 @@
         ([Result.ERROR, *[Result.OK] * 3, Result.ERROR], False),
     ],
 )
-def test_one_plain_error_or_two_do_not_set_a_worker_aside(results: list[Result], aside: bool) -> None:
-    """A lone error cost the fastest worker over a second of trials, and the others drowned meanwhile.
+def test_one_or_two_errors_do_not_eject_a_worker(results: list[Result], ejected: bool) -> None:
+    """A single error once put the fastest worker on trial for over a second, which overloaded the others.
 
-    A broken connection is one connection's: where they break now and then, each cost a worker that was well.
+    A reset shows the failure of one connection only: where connections break now and then, each reset once ejected a
+    healthy worker.
     """
     driver = Driver(workers=1)
     driver.learn_slots(4)
     for turn, result in enumerate(results):
         [send] = of_type(driver.job(f"a{turn}", job_class=1), Send)
         driver.end(send, result, after_ms=5)
-    assert driver.policy.workers["w0"].trial == aside
+    assert driver.policy.workers["w0"].trial == ejected
 
 
 @pytest.mark.parametrize("job_class, worker", [(0, "w0"), (1, "w1")])
-def test_workers_that_are_well_are_kept_for_what_must_not_be_repeated(job_class: int, worker: str) -> None:
-    """Where most workers fail now and then, setting them aside cost more jobs than their errors."""
+def test_healthy_workers_are_preferred_for_jobs_that_must_not_be_repeated(job_class: int, worker: str) -> None:
+    """Where most workers fail now and then, ejecting them cost more jobs than their errors."""
     driver = Driver(workers=2)
     driver.policy.slots[:] = [4.0]
-    fails, well = (driver.policy.workers[name] for name in ("w0", "w1"))
-    fails.failures, well.slowness = 0.3, 0.5  # a little faster, and not to be relied on
+    failing, healthy = (driver.policy.workers[name] for name in ("w0", "w1"))
+    failing.failures, healthy.slowness = 0.3, 0.5  # the failing worker is a little faster
     [send] = of_type(driver.job("a", job_class=job_class), Send)
-    assert send.worker == worker and not fails.trial
+    assert send.worker == worker and not failing.trial
 
 
-def test_when_all_fail_alike_nobody_is_set_aside_for_long() -> None:
+def test_when_all_workers_fail_alike_at_most_half_are_ejected() -> None:
     driver = Driver(workers=6)
     for index in range(300):
         for send in of_type(driver.job(f"a{index}"), Send):
@@ -365,7 +366,7 @@
     "with_answers, price, least, most",
     [(True, 0.0, 0, 0), (False, 0.0, 50, 64), (False, 0.0025, 50, 64), (False, 0.015, 8, 14)],
 )
-def test_probes_only_where_reports_come_no_other_way_and_as_many_as_their_price_allows(
+def test_probes_are_sent_only_without_reports_in_answers_and_as_many_as_their_price_allows(
     with_answers: bool, price: float, least: int, most: int
 ) -> None:
     driver = Driver(settings(probes=True, reports_with_answers=with_answers, probe_price=price))
@@ -375,20 +376,20 @@
         driver.tick()
     probed = [probe.worker for probe in of_type(driver.all_actions, Probe)]
     assert least <= len(probed) <= most
-    # Who was asked longest ago is asked next.
+    # The worker with the oldest probe is probed next.
     assert all(len({*probed[at : at + 4]}) == 4 for at in range(0, len(probed) - 4, 4))
 
 
-def test_the_choice_is_a_sample_not_a_scan() -> None:
+def test_placement_examines_a_sample_and_not_the_whole_fleet() -> None:
     driver = Driver(workers=400)
-    seen = []
-    room = driver.policy._free_slots
-    driver.policy._free_slots = lambda *a: (seen.append(1), room(*a))[1]  # type: ignore[method-assign]
+    calls = []
+    original = driver.policy._free_slots
+    driver.policy._free_slots = lambda *a: (calls.append(1), original(*a))[1]  # type: ignore[method-assign]
     driver.job("a")
-    assert len(seen) <= 2 * policy_module.SAMPLE_SIZE + 2
+    assert len(calls) <= 2 * policy_module.SAMPLE_SIZE + 2
 
 
-def test_same_events_same_actions() -> None:
+def test_the_same_events_give_the_same_actions() -> None:
     def play() -> list[object]:
         driver = Driver(workers=30)
         for index in range(200):
@@ -410,21 +411,21 @@
         ("max_attempts", 0),
     ],
 )
-def test_impossible_settings_name_their_field(field: str, value: object) -> None:
+def test_invalid_settings_are_rejected_with_the_field_name(field: str, value: object) -> None:
     with pytest.raises(ValueError, match=field):
         settings(**{field: value})
 
 
-def test_impossible_class_settings_name_their_field() -> None:
+def test_invalid_class_settings_are_rejected_with_the_field_name() -> None:
     with pytest.raises(ValueError, match=r"classes\[0\]\.worth"):
         Settings(classes=(JobClass(worth=-1.0),))
 
 
-# ---- push-out: with no token left, the held job that is worth least gives way
+# ---- displacement: without free tokens, the pending job of least value is refused
 
 
 def overloaded(cheap: JobClass, dear: JobClass) -> Driver:
-    """One worker of one slot, busy, and every token held by waiting jobs of the cheap class."""
+    """A busy worker, and all tokens taken by pending jobs of the cheap class."""
     driver = Driver(settings(classes=(cheap, dear), tenants=(Tenant(),)), workers=1)
     while not of_type(driver.all_actions, Refuse):
         driver.job(f"cheap-{len(driver.all_actions)}-{len(driver.policy.jobs)}", job_class=0)
@@ -432,7 +433,7 @@
     return driver
 
 
-def test_a_dearer_job_takes_the_place_of_a_cheap_one_that_was_never_sent() -> None:
+def test_a_job_of_higher_value_displaces_a_cheap_one_that_was_never_sent() -> None:
     driver = overloaded(SAFE, JobClass(deadline_ms=5_000, objective_ms=500, worth=9.0, stretch=2.0))
     before = sum(driver.policy.inflight)
     driver.job("dear", job_class=1)
@@ -441,13 +442,13 @@
     assert sum(driver.policy.inflight) == before
 
 
-def test_a_job_of_the_same_worth_does_not_push_out_another() -> None:
+def test_a_job_of_equal_value_does_not_displace_another() -> None:
     driver = overloaded(SAFE, SAFE)
     driver.job("same", job_class=1)
     assert [refused.job for refused in of_type(driver.all_actions, Refuse)] == ["same"]
 
 
-def test_a_job_that_was_sent_is_never_pushed_out() -> None:
+def test_a_job_that_was_sent_is_never_displaced() -> None:
     driver = overloaded(UNSAFE, JobClass(deadline_ms=5_000, objective_ms=500, worth=9.0, stretch=2.0))
     sent = {job.event.job for job in driver.policy.jobs.values() if job.attempts}
     for index in range(50):
@@ -455,7 +456,7 @@
     assert sent and not sent & {refused.job for refused in of_type(driver.all_actions, Refuse)}
 
 
-def test_a_late_job_gives_way_to_one_that_can_be_in_time() -> None:
+def test_a_late_job_is_displaced_by_one_that_can_be_in_time() -> None:
     late = JobClass(deadline_ms=50_000, objective_ms=500, late_share=0.3, repeat=SAFE.repeat)
     driver = overloaded(late, late)
     driver.now += 5_000
@@ -463,12 +464,12 @@
     assert "fresh" in driver.policy.jobs
 
 
-def test_a_job_of_many_slots_goes_although_no_part_has_room_for_it() -> None:
+def test_a_job_larger_than_any_own_share_is_sent_to_an_idle_worker() -> None:
     driver = Driver(settings(instances=40, number=3), workers=30)
     assert of_type(driver.job("wide", slots=4.0), Send)
 
 
-def test_when_nothing_else_has_room_a_late_job_warms_our_own_cold_worker() -> None:
+def test_when_nothing_else_is_free_a_late_job_goes_to_a_cold_worker_of_the_own_share() -> None:
     classes = (JobClass(deadline_ms=60_000, objective_ms=500, late_share=0.5, repeat=SAFE.repeat),)
     use = settings(classes=classes, cold_share=0.1, cold_ms=20_000.0, overload_factor=4.0)
     driver = Driver(use, workers=0)
@@ -478,7 +479,7 @@
     assert of_type(driver.job("a", timeout_ms=60_000.0), Send)
 
 
-def test_the_spill_falls_where_there_was_no_room_and_grows_where_there_was() -> None:
+def test_the_spill_falls_after_a_full_worker_and_grows_after_success() -> None:
     driver = Driver(settings(instances=9, number=0), workers=9)
     for result, sign in ((Result.FULL, -1), (Result.OK, 1)):
         sends = [send for index in range(6) for send in of_type(driver.job(f"{result}{index}"), Send)]
@@ -490,7 +491,7 @@
 
 
 def four_out(known: float, **changes: Any) -> tuple[Driver, list[Send]]:
-    """Four jobs sent to one worker, which is then believed to have so many slots."""
+    """Send four jobs to one worker, and then set its estimated slots to `known`."""
     driver = Driver(settings(reports_starts=True, **changes), workers=1)
     driver.policy.slots[:], sends = [8.0], []
     for index in range(4):
@@ -500,13 +501,13 @@
     return driver, sends
 
 
-def test_slots_are_learned_from_jobs_that_run_for_a_while_though_no_report_shows_them_free() -> None:
-    """A worker under load reports a slot or two free; believed to have no more, it stood half idle."""
+def test_slots_are_learned_from_running_jobs_without_a_report_of_free_slots() -> None:
+    """A worker under load reports one or two free slots; with an estimate of only these it was half idle."""
     driver, sends = four_out(1.0)
     for send in sends:
         driver.handle(AttemptProgress(send.job, 0, send.worker))
     driver.policy.next_tick_ms = 0.0
-    driver.handle(TimerFired(0), after_ms=5)  # a start may overtake the end of the job before it
+    driver.handle(TimerFired(0), after_ms=5)  # too early: a start may arrive before the end of the previous job
     assert driver.policy.slots == [1.0]
     driver.policy.next_tick_ms = 0.0
     driver.handle(TimerFired(0), after_ms=20)
@@ -519,10 +520,10 @@
 @pytest.mark.parametrize(
     "started, instances, lower", [((0, 1, 2), 1, True), ((0, 1, 3), 1, False), ((0, 1, 2), 2, False)]
 )
-def test_a_job_that_waits_shows_that_a_worker_has_fewer_slots(
+def test_a_waiting_job_lowers_the_estimated_slots_of_its_worker(
     started: tuple[int, ...], instances: int, lower: bool
 ) -> None:
-    """Not one that was overtaken: its connection is silent. And not among several nodes: others' jobs run."""
+    """Not if it was overtaken, as its connection is silent; nor with several nodes, as their jobs use slots too."""
     driver, sends = four_out(8.0, instances=instances)
     for number in started:
         driver.handle(AttemptProgress(sends[number].job, 0, sends[number].worker), after_ms=1)
@@ -532,8 +533,10 @@
 
 
 @pytest.mark.parametrize("after_ms, free", [(1.0, 2.0), (200.0, 0.0)])
-def test_elsewhere_a_start_at_once_tells_of_more_room_and_a_late_one_of_none(after_ms: float, free: float) -> None:
-    """Reports are a second old when they come: a node left alone refused while the others' workers idled."""
+def test_outside_the_own_share_a_prompt_start_shows_free_slots_and_a_late_one_none(
+    after_ms: float, free: float
+) -> None:
+    """Reports are a second old on arrival: a node refused jobs while workers outside its share were idle."""
     driver = Driver(settings(instances=9, number=0, reports_starts=True), workers=9)
     sends = [send for index in range(9) for send in of_type(driver.job(f"a{index}"), Send)]
     send = next(send for send in sends if driver.policy.jobs[send.job].attempts[0].spilled)
@@ -542,7 +545,7 @@
     assert (worker.free, worker.reported_ms) == (free, driver.now)
 
 
-def test_what_a_late_report_shows_free_does_not_all_go_to_one_worker_elsewhere() -> None:
+def test_free_slots_in_an_old_report_are_limited_outside_the_own_share() -> None:
     driver = Driver(settings(instances=9, number=0, reports_starts=True), workers=9)
     worker = next(worker for worker in driver.policy.ring if not worker.own_share)
     worker.free, worker.slots_in_use, worker.reported_ms = 10.0, 5.0, driver.now
@@ -551,7 +554,7 @@
 
 
 def silent(dead: float, **changes: float) -> tuple[Driver, Send]:
-    """A job that started 10 ms after its send and has said nothing since, on a worker with one slot."""
+    """A job that started 10 ms after it was sent, with no sign of life since, on a worker with one slot."""
     driver = Driver(settings(reports_starts=True, progress_ms=2_000.0, cancel=True), workers=1)
     driver.policy.run_ms[:], driver.policy.dead, driver.policy.spill = [100.0, 100.0], dead, 0.0
     driver.policy.slots[:] = [1.0]
@@ -561,8 +564,8 @@
 
 
 @pytest.mark.parametrize("dead, sent", [(1.0, True), (0.0, False)])
-def test_an_overdue_attempt_gives_slots_back_as_far_as_such_ones_are_dead(dead: float, sent: bool) -> None:
-    """Connections that fell silent held their slots for the client's whole patience; long jobs do rightly."""
+def test_an_overdue_attempt_frees_slots_by_the_probability_that_it_is_dead(dead: float, sent: bool) -> None:
+    """Silent connections kept their slots until the client's timeout; a long job must keep them."""
     driver, send = silent(dead)
     driver.handle(TimerFired(0), after_ms=300)
     assert not of_type(driver.job("early"), Send) and driver.policy.inflight[0] == 2.0
@@ -571,12 +574,12 @@
     assert driver.policy.inflight[0] == (0.0 if dead else 1.0)
     assert bool(of_type(driver.job("late"), Send)) == sent
     driver.end(send, attempt=0)
-    assert driver.policy.dead == pytest.approx(0.9 * dead)  # this one was alive
+    assert driver.policy.dead == pytest.approx(0.9 * dead)  # this attempt was alive
     driver.handle(ClientGone("late"))
     assert driver.policy.inflight[0] == 0.0
 
 
-def test_an_attempt_without_a_sign_of_life_is_given_up_once() -> None:
+def test_an_attempt_without_a_sign_of_life_is_cancelled_once() -> None:
     driver, send = silent(0.0)
     driver.handle(AttemptProgress("silent", 0, "w0", 0.5), after_ms=2_000)  # long, but alive
     for _ in range(22):
@@ -588,7 +591,7 @@
     assert driver.policy.dead == pytest.approx(0.1) and not driver.policy.workers["w0"].slots_in_use
 
 
-def test_a_worker_that_is_cut_off_is_set_aside_before_its_attempts_have_ended() -> None:
+def test_an_unreachable_worker_is_ejected_before_its_attempts_have_ended() -> None:
     driver, _ = silent(1.0)
     driver.policy.slots[:] = [4.0]
     for index in range(3):
@@ -597,44 +600,44 @@
     assert driver.policy.workers["w0"].trial
 
 
-def test_with_much_of_the_fleet_dead_the_dead_are_still_told_apart() -> None:
+def test_a_dead_worker_is_ejected_even_when_much_of_the_fleet_is_dead() -> None:
     driver = Driver(workers=4)
     driver.policy.slots[:] = [2.0]
     for turn in range(20):
         sends = [send for index in range(8) for send in of_type(driver.job(f"{turn}-{index}"), Send)]
         for send in sends:
-            driver.policy.fleet_failures = 0.4  # what the rest of a large fleet would keep it at
+            driver.policy.fleet_failures = 0.4  # as the rest of a large fleet would keep it
             result = Result.CONNECT_FAILED if send.worker == "w2" else Result.OK
             driver.end(send, result, after_ms=5, closed=True)
     assert [name for name, worker in driver.policy.workers.items() if worker.trial] == ["w2"]
 
 
-def test_a_job_that_states_no_slots_is_ranked_like_any_other() -> None:
+def test_a_job_without_a_slot_request_is_ranked_like_any_other() -> None:
     driver = overloaded(SAFE, SAFE)
     for index in range(30):
         driver.job(f"none-{index}", slots=0.0, job_class=1)
     assert len(driver.policy.jobs) + len(of_type(driver.all_actions, Refuse)) >= 30
 
 
-@pytest.mark.parametrize("told, most, advice", [(True, 2_000.0, 2_000.0), (True, 0.0, 0.0), (False, 2_000.0, 0.0)])
-def test_a_refusal_says_when_to_return_where_the_site_passes_it_on(told: bool, most: float, advice: float) -> None:
-    use = settings(classes=(SAFE,), retry_after=told, max_retry_after_ms=most)
+@pytest.mark.parametrize("allowed, most, advice", [(True, 2_000.0, 2_000.0), (True, 0.0, 0.0), (False, 2_000.0, 0.0)])
+def test_a_refusal_carries_a_retry_delay_where_the_settings_allow_it(allowed: bool, most: float, advice: float) -> None:
+    use = settings(classes=(SAFE,), retry_after=allowed, max_retry_after_ms=most)
     driver = Driver(use, workers=1)
-    while not of_type(driver.all_actions, Refuse):  # refused for want of tokens
+    while not of_type(driver.all_actions, Refuse):  # refused without free tokens
         driver.job(f"a{len(driver.policy.jobs)}")
-    driver.handle(TimerFired(0), after_ms=4_990)  # and what was held is given up
+    driver.handle(TimerFired(0), after_ms=4_990)  # and the pending jobs expire
     refused = of_type(driver.all_actions, Refuse)
     assert len(refused) > 1 and {refusal.retry_after_ms for refusal in refused} == {advice}
 
 
-def test_a_tick_that_is_set_is_not_put_off_by_later_events() -> None:
-    """Held jobs past their time once waited on while events came faster than the tick's least delay."""
+def test_later_events_do_not_postpone_a_tick() -> None:
+    """Expired jobs once stayed pending while events arrived faster than the tick's least delay."""
     driver = Driver(settings(resolution_ms=4.0), workers=1)
     flood(driver, 0, 12)
-    useful, due = min(job.latest_start_ms for job in driver.policy.pending.jobs()), list[float]()
-    driver.now = useful - 1.0
+    latest_start, due = min(job.latest_start_ms for job in driver.policy.pending.jobs()), list[float]()
+    driver.now = latest_start - 1.0
     due += [driver.now + action.delay_ms for action in of_type(driver.handle(TimerFired(0)), SetTimer)]
-    for count in range(40):  # every millisecond something happens; a timer fires when it is due
+    for count in range(40):  # one event per millisecond; timers fire when they are due
         actions = driver.job(f"x{count}", timeout_ms=1.0)
         driver.now += 1.0
         if any(time <= driver.now for time in due):
@@ -645,8 +648,8 @@
 
 
 @pytest.mark.parametrize("job_class, cancels", [(0, True), (1, False)])
-def test_a_job_that_later_ones_have_passed_is_dead_where_jobs_start_in_order(job_class: int, cancels: bool) -> None:
-    """Most connections that fall silent do so before the start: their jobs held a slot for 2.4 s and were late."""
+def test_an_overtaken_job_is_dead_where_jobs_start_in_order(job_class: int, cancels: bool) -> None:
+    """Most connections go silent before the start: their jobs kept a slot for 2.4 s and were late."""
 
     def driver_of(starts_in_order: bool) -> tuple[Driver, Send]:
         driver = Driver(
@@ -667,11 +670,11 @@
         assert (Cancel("silent", 0) in actions) == (cancels and starts_in_order)
         assert worker.slots_in_use == (0 if starts_in_order else 1)
     driver, silent = driver_of(True)
-    driver.handle(AttemptProgress("silent", 0, silent.worker))  # late, but it lives
+    driver.handle(AttemptProgress("silent", 0, silent.worker))  # late, but alive
     assert not of_type(driver.handle(TimerFired(0), after_ms=300.0), Cancel)
 
 
-# ---- settings and lists that change under a job
+# ---- settings and worker lists that change while a job is open
 
 
 @pytest.mark.parametrize(
@@ -686,14 +689,14 @@
         (keyed(Scope.CELL), keyed(Scope.ALL)),
     ],
 )
-@pytest.mark.parametrize("state", ["held", "out"])
-def test_the_effect_that_a_job_came_with_binds_it_whatever_its_class_becomes(
+@pytest.mark.parametrize("state", ["pending", "outstanding"])
+def test_a_job_keeps_the_repeat_rule_of_its_arrival_when_its_class_changes(
     before: JobClass, after: JobClass, state: str
 ) -> None:
-    driver = Driver(settings(classes=(before,)), workers=0 if state == "held" else 4)
+    driver = Driver(settings(classes=(before,)), workers=0 if state == "pending" else 4)
     driver.job("a")
     driver.handle(SettingsChanged(settings(classes=(after,))))
-    if state == "held":
+    if state == "pending":
         driver.list([Worker(f"w{index}") for index in range(4)])
     [send] = of_type(driver.all_actions, Send)
     assert driver.policy.jobs["a"].cls is before
@@ -705,8 +708,8 @@
 
 
 @pytest.mark.parametrize("retry_on", [frozenset(Result), frozenset({Result.RESET})])
-def test_a_drain_takes_back_what_has_not_gone_out_and_places_it_anew(retry_on: frozenset[Result]) -> None:
-    """Whatever a plan says of outcomes: an attempt that we took back is none of them."""
+def test_a_drain_withdraws_unsent_attempts_and_places_their_jobs_again(retry_on: frozenset[Result]) -> None:
+    """Under any retry_on of the plan: a withdrawn attempt does not count as a failed one."""
     driver = Driver(workers=2)
     [send] = of_type(driver.job("a", job_class=1, plan=Plan(retry_on=retry_on)), Send)
     actions = driver.list([Worker(send.worker, State.DRAINING)], Listing.DELTA)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Any legal sequence of events under any legal settings keeps the rules a scheduler can keep."""
+"""Property tests: the policy keeps its rules under any legal settings and any legal sequence of events."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Checked:
-    """Plays the client and the workers, and judges each action by the rules."""
+    """Simulates the client and the workers, and checks each action against the rules."""
 
     def __init__(self, driver: Driver) -> None:
         self.driver = driver
@@ -42,29 +42,31 @@
         self.states: dict[str, State] = {}
 
     def handle(self, *events: object, after_ms: float = 0.0) -> None:
-        self.judge(self.driver.handle(*events, after_ms=after_ms))  # type: ignore[arg-type]
+        self.check(self.driver.handle(*events, after_ms=after_ms))  # type: ignore[arg-type]
 
-    def judge(self, actions: list[object]) -> None:
+    def check(self, actions: list[object]) -> None:
         now = self.driver.now
         for action in actions:
             if isinstance(action, (Send, Refuse, Fail)):
-                assert action.job in self.open, "acted on a job that has its answer"
+                assert action.job in self.open, "action on a job that has its answer"
                 cls = self.driver.policy.settings.classes[self.open[action.job][0]]
                 history = self.sends.setdefault(action.job, [])
-                maybe = [s for s in history if s[2] not in NEVER_RAN]
+                possible = [s for s in history if s[2] not in NEVER_RAN]
             if isinstance(action, Send):
                 assert self.states[action.worker] is State.SERVING
                 assert len(history) < self.driver.policy.settings.max_attempts
-                if maybe:
+                if possible:
                     assert cls.repeat is not Repeat.UNSAFE
                     if cls.repeat is Repeat.KEYED:
-                        first, new = maybe[0][0], action.worker
-                        assert now < maybe[0][1] + cls.window_ms
+                        first, new = possible[0][0], action.worker
+                        assert now < possible[0][1] + cls.window_ms
                         assert cls.scope is Scope.ALL or first[1] == new[1]
                         assert cls.scope is not Scope.CELL or first[1:3] == new[1:3]
                 history.append((action.worker, now, None))
             elif isinstance(action, Refuse):
-                assert not maybe or cls.repeat is Repeat.SAFE or (cls.repeat is Repeat.KEYED and cls.scope is Scope.ALL)
+                assert (
+                    not possible or cls.repeat is Repeat.SAFE or (cls.repeat is Repeat.KEYED and cls.scope is Scope.ALL)
+                )
                 del self.open[action.job]
             elif isinstance(action, Fail):
                 del self.open[action.job]
@@ -87,7 +89,7 @@
             self.handle(AttemptEnded(job, index, worker, result, 1.0, closed, report))
 
     def overdue(self) -> None:
-        """Attempts end at the client's deadline at the latest; then every job must have its answer."""
+        """End attempts at the client's deadline; after that, every job must have its answer."""
         for job, (_, deadline) in list(self.open.items()):
             if self.driver.now < deadline:
                 continue
@@ -129,7 +131,7 @@
         cancel=True,
     )
     checked = Checked(Driver(use, workers=0, seed=seed))
-    checked.driver.policy.run_ms[:] = [5.0] * len(chosen)  # so that attempts come to be overdue
+    checked.driver.policy.run_ms[:] = [5.0] * len(chosen)  # short, so that attempts become overdue
     checked.driver.policy.dead = seed / 99.0
     rows = [Worker(f"w{i % 2}{i % 3}{i}", zone=i % 2, cell=10 * (i % 2) + i % 3) for i in range(workers)]
     checked.states = {row.id: State.SERVING for row in rows}
@@ -155,7 +157,7 @@
             job, index = checked.outstanding()[a % len(checked.outstanding())]
             checked.handle(AttemptProgress(job, index, checked.sends[job][index][0], b / 8.0))
         elif step == "r":
-            checked.handle(AttemptEnded(f"j{a}", b, "nobody", Result.OK, 1.0, True))  # for nothing of ours
+            checked.handle(AttemptEnded(f"j{a}", b, "nobody", Result.OK, 1.0, True))  # an unknown job
         for _ in range(a // 20 if step == "t" else 0):
             checked.handle(TimerFired(0), after_ms=1.0)
             checked.overdue()
@@ -187,10 +189,10 @@
 def test_a_cold_worker_never_gets_more_than_its_budget_in_any_window(
     gaps: list[int], warm: int, slots: int, instances: int, seed: int
 ) -> None:
-    """Rule 4 of WIRE: work sent to a cold worker over any fall_ms stays under factor x its least capacity x fall_ms.
+    """Work sent to a cold worker in any window of fall_ms stays below overload_factor x least capacity x fall_ms.
 
-    Its least capacity is cold_share of a warm one's; this scheduler's share of the budget is 1/instances.
-    Jobs take run_ms each and end when they are done, so the work a send brings is slots x run_ms.
+    This is rule 4 of the simulator's protocol. The least capacity is cold_share of a warm worker's; one node's share of
+    the budget is 1/instances. Jobs run for run_ms each, so each attempt brings slots x run_ms of work.
     """
     use = settings(classes=(SAFE,), instances=instances, number=0, **COLD)
     driver = Driver(use, workers=warm, seed=seed)
@@ -220,10 +222,10 @@
     order=st.permutations(range(6)),
     seed=st.integers(0, 99),
 )
-def test_a_keyed_job_goes_on_in_its_group_and_window_alone(
+def test_a_keyed_job_is_retried_within_its_group_and_window_only(
     scope: Scope, gaps: list[int], order: list[int], seed: int
 ) -> None:
-    """Each attempt is lost after a while; those near the first one turn away, so that only others are left."""
+    """The first attempt is lost after a while; later ones find their workers full, so that only others are left."""
     use = settings(classes=(keyed(scope, 400.0),), zones=2, max_attempts=8, cancel=True)
     checked = Checked(Driver(use, workers=0, seed=seed))
     rows = [Worker(f"w{i % 2}{i // 2}{i}", zone=i % 2, cell=10 * (i % 2) + i // 2) for i in order]
@@ -235,7 +237,7 @@
         if checked.outstanding():
             index = checked.outstanding()[0][1]
             worker, at, _ = checked.sends["job"][index]
-            # The first may have run; what follows in its own group is turned away, proven never to have run.
+            # The first attempt may have run; later ones are rejected as FULL and so provably never ran.
             result = Result.RESET if index == 0 else Result.FULL
             checked.sends["job"][index] = worker, at, result
             checked.handle(
