--- a/pipitledge/__main__.py
+++ b/pipitledge/__main__.py
@@ -117,7 +117,7 @@
         if new := [place for place in places if place not in nobody_knows]:
             nobody_knows.update(new)
             counters.add("config.unknown", len(new))
-            log("config", unknown_settings=",".join(new))
+            log("config", unknown=",".join(new))
 
     tell_unknown(unknown_settings(told.raw.get("settings", {})))
     plans = PlanFile(told, scheduler, clock, counters, log)
--- a/pipitledge/decision/interface.py
+++ b/pipitledge/decision/interface.py
@@ -313,7 +313,7 @@
     timeout_ms: float = 0.0
     slots: float = 1.0
     memory: float = 0.0
-    hint_ms: float = 0.0
+    hint_ms: float = 0.0  # the client's estimate of the running time; 0: none
     key: str = ""
     is_retry: bool = False
     plan: Plan = UNLIMITED
@@ -438,7 +438,7 @@
 
 
 class Subscribe(NamedTuple):
-    """Request the worker list and its changes from now on."""
+    """Request the worker list, and its changes from then on."""
 
 
 class SetTimer(NamedTuple):
@@ -527,9 +527,8 @@
             self.cold_tokens, self.cold_ms = -random.random() * cost, self.row.started_ms
         self.cold_tokens += rate * (now_ms - self.cold_ms)
         self.cold_ms = now_ms
-        self.cold_tokens = min(
-            self.cold_tokens, cost + SAVED_BUDGET_SHARE * rate * window_ms
-        )  # unlimited savings would allow a burst
+        # Unlimited savings would allow a burst.
+        self.cold_tokens = min(self.cold_tokens, cost + SAVED_BUDGET_SHARE * rate * window_ms)
         return self.cold_tokens
 
     def add_usage(self, slots: float, memory: float) -> None:
@@ -596,7 +595,7 @@
     def may_send(self, max_attempts: int, at_ms: float) -> bool:
         """Whether its plan allows one more attempt at that time, and that can still gain something.
 
-        Takes one attempt from the retry budget if so.
+        If so, an attempt after the first is taken from the class's retry budget.
         """
         plan = self.event.plan
         return (
@@ -662,7 +661,7 @@
         return SetTimer(delay_ms, token, job.event.job)
 
     def take(self, token: int) -> JobRecord | None:
-        """Remove a timer and return its job, if the job is open and unchanged since then."""
+        """Remove a timer and return its job; None if the job is finished or an attempt was sent or ended since."""
         job, state = self.pop(token, (None, (0, 0)))
         return job if job is not None and job.open and (len(job.attempts), job.outstanding) == state else None
 
@@ -672,11 +671,11 @@
 class PendingJobs(dict[tuple[int, int], deque[JobRecord]]):
     """Jobs that wait for free slots: one queue for each tenant and class with pending jobs."""
 
-    def enqueue(self, job: JobRecord, first: bool, now_ms: float) -> float:
+    def enqueue(self, job: JobRecord, at_head: bool, now_ms: float) -> float:
         """Add a job at the head or the end of its queue, and return when it leaves the queue unserved."""
         job.pending_until = min(job.latest_start_ms, now_ms + job.event.plan.hold_ms)
         queue = self.setdefault((job.tenant, job.event.job_class), deque())
-        (queue.appendleft if first else queue.append)(job)
+        (queue.appendleft if at_head else queue.append)(job)
         job.pending = True
         return job.pending_until
 
--- a/pipitledge/decision/settings.py
+++ b/pipitledge/decision/settings.py
@@ -120,8 +120,8 @@
         zone=raw.get("zone", 0),
         instances=raw.get("n_instances", 1),
         number=raw.get("my_number", 0),
-        must_subscribe=raw.get("discovery")
-        != "push",  # if unstated or unknown: requests, with their backoff, always work
+        # If discovery is unstated or unknown: requesting the list, with backoff, works with both kinds.
+        must_subscribe=raw.get("discovery") != "push",
         probes=bool(allow.get("probes")),
         cancel=bool(allow.get("cancel")),
         second_copies=bool(allow.get("second_copies")),
--- a/tests/test_believes.py
+++ b/tests/test_believes.py
@@ -50,14 +50,14 @@
     zoned = priced and len({*zones}) > 1 and zone in zones
     for number in range(instances):
         workers = ring(zones)
-        mine = assign_shares(
+        owned = assign_shares(
             workers,
             settings(instances=instances, number=number, zone=zone, zones=3, cross_zone_price=0.1 * priced),
             1e6,
         )
         assert all(0.0 <= worker.own_share <= 1.0 + 1e-9 for worker in workers)
-        assert mine == [worker for worker in workers if worker.own_share > 0.0]
-        assert not zoned or {worker.zone for worker in mine} == {zone}
+        assert owned == [worker for worker in workers if worker.own_share > 0.0]
+        assert not zoned or {worker.zone for worker in owned} == {zone}
         for index, worker in enumerate(workers):
             total[index] += worker.own_share
     for index, share in total.items():
@@ -79,12 +79,12 @@
     return driver
 
 
-def weigh(driver: Driver, held: dict[str, float]) -> None:
+def weigh(driver: Driver, used: dict[str, float]) -> None:
     """Send ten list updates with the weights for these slots in use."""
     for _ in range(10):
         driver.list(
             [
-                worker.row._replace(weight=8.0 / (1.0 + held.get(name, 0.0) / 2.0))
+                worker.row._replace(weight=8.0 / (1.0 + used.get(name, 0.0) / 2.0))
                 for name, worker in driver.policy.workers.items()
             ],
             api.Listing.DELTA,
@@ -132,17 +132,17 @@
 
 
 @DERANDOMISED
-@given(held=st.floats(0.0, 20.0), slots=st.integers(1, 16), nominal=st.floats(0.5, 50.0))
+@given(used=st.floats(0.0, 20.0), slots=st.integers(1, 16), nominal=st.floats(0.5, 50.0))
 def test_load_of_other_nodes_is_estimated_from_live_weights_for_any_worker_size(
-    held: float, slots: int, nominal: float
+    used: float, slots: int, nominal: float
 ) -> None:
     known = estimates_module.Estimates()
     known.slots[:], worker = [float(slots)], ring([0])[0]
     worker.delayed_slots_in_use = 2.0  # the node's own slots do not count as the others'
     known.apply_weight(None, nominal, 0.0)
     for step in range(60):
-        known.apply_weight(worker, nominal / (1.0 + (held + 2.0) / slots), float(step))
-    assert worker.others == pytest.approx(held, abs=1e-3 + held * 1e-6)
+        known.apply_weight(worker, nominal / (1.0 + (used + 2.0) / slots), float(step))
+    assert worker.others == pytest.approx(used, abs=1e-3 + used * 1e-6)
     assert used_by_others(worker, slots) == pytest.approx(
         worker.others
     )  # without an own share, all slots are the others'
@@ -276,15 +276,15 @@
     assert not of_type(driver.all_actions, api.Send) and driver.now < 1_000.0 + 5_000.0
 
 
-@pytest.mark.parametrize("tells", [True, False])
-def test_among_many_nodes_spill_is_learned_from_starts_where_workers_report_them(tells: bool) -> None:
+@pytest.mark.parametrize("reports", [True, False])
+def test_among_many_nodes_spill_is_learned_from_starts_where_workers_report_them(reports: bool) -> None:
     """Each of 40 nodes with probes once assumed free slots at workers it had never probed: 88 % of jobs were late."""
-    driver = Driver(settings(instances=40, probes=True, reports_with_answers=False, reports_starts=tells), workers=40)
+    driver = Driver(settings(instances=40, probes=True, reports_with_answers=False, reports_starts=reports), workers=40)
     sent = driver.sends(40)
     assert len(sent) >= 8
     driver.tick(600.0)
     for send in sent:  # the starts were late, as other nodes used the slots
         driver.handle(api.AttemptProgress(send.job, 0, send.worker))
     driver.tick()
-    beyond = sum(attempt.spilled for _, _, attempt in driver.policy.jobs.outstanding())
-    assert beyond and (driver.policy.spill == INITIAL_SPILL - beyond) == tells
+    spilled = sum(attempt.spilled for _, _, attempt in driver.policy.jobs.outstanding())
+    assert spilled and (driver.policy.spill == INITIAL_SPILL - spilled) == reports
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -139,9 +139,9 @@
     for number, (step, a, b) in enumerate(steps):
         now = checked.driver.now
         if step == "j":
-            name, patience = f"j{number}", 50.0 + a
-            checked.open[name] = (b % len(chosen), now + patience)
-            checked.handle(JobArrived(name, b % len(chosen), a % tenants, patience, 1.0 + b % 3))
+            name, timeout = f"j{number}", 50.0 + a
+            checked.open[name] = (b % len(chosen), now + timeout)
+            checked.handle(JobArrived(name, b % len(chosen), a % tenants, timeout, 1.0 + b % 3))
         elif step == "o":
             checked.end(a, b)
         elif step == "g" and checked.open:
