--- a/pipitledge/adapter.py
+++ b/pipitledge/adapter.py
@@ -1,4 +1,7 @@
-"""The wire of the dispatcher's bench on one side, one Policy per instance on the other. No decisions here."""
+"""Adapter between the simulator's line protocol and one Policy per simulated scheduler node. It takes no decisions.
+
+The simulator sends batches of events on standard input; the actions of the policies are written to standard output.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 from pipitledge.decision import interface as api
 from pipitledge.decision.policy import Policy
-from pipitledge.decision.settings import REPORTS, STATES, parse_settings
+from pipitledge.decision.settings import REPORT_FIELD_NAMES, STATES, parse_settings
 
 RESULTS = {
     "0": api.Result.OK,
@@ -19,7 +22,7 @@
     "252": api.Result.CONNECT_FAILED,
     "251": api.Result.RESET,
     "250": api.Result.CANCELLED,
-    "249": api.Result.MOOT,
+    "249": api.Result.NOT_SENT,
 }
 LISTINGS = {listing.value: listing for listing in api.Listing}
 Fields = dict[str, str]
@@ -34,7 +37,7 @@
     if not text or text == "-":
         return None
     pairs = (pair.split(":", 1) for pair in text.split(","))
-    return {REPORTS.get(name, name): float(value) for name, value in pairs}
+    return {REPORT_FIELD_NAMES.get(name, name): float(value) for name, value in pairs}
 
 
 def _worker(fields: Fields) -> api.Worker:
@@ -78,7 +81,7 @@
 
 def _note(fields: Fields) -> api.Event:
     fraction = float(fields.get("amount", 0.0)) if fields.get("sort") == "2" else 0.0
-    return api.AttemptNote(fields["ticket"], int(fields.get("trial", 0)), fields["worker"], fraction)
+    return api.AttemptProgress(fields["ticket"], int(fields.get("trial", 0)), fields["worker"], fraction)
 
 
 def _probe_done(fields: Fields) -> api.Event:
@@ -109,17 +112,17 @@
 
 
 class Adapter:
-    """Hosts the instances of one process and answers batches line by line."""
+    """Hosts the policies of all simulated nodes of one process and answers their batches."""
 
     def __init__(self, lines: Iterator[str], out: TextIO) -> None:
-        """Read batches from lines, write replies to out."""
+        """Read batches from `lines` and write replies to `out`."""
         self.lines = lines
         self.out = out
         self.line_number = 0
         self.policies: dict[int, Policy] = {}
 
     def run(self) -> int:
-        """Answer batches until the input ends; a fault on the wire is one plain line and exit code 2."""
+        """Answer batches until the input ends; malformed input gives one line on standard error and exit code 2."""
         try:
             for line in self.lines:
                 self.line_number += 1
@@ -188,11 +191,11 @@
     def _answer(self, number: int, now: float, events: list[api.Event], reply: list[str]) -> None:
         try:
             actions = self.policies[number].handle(now, events)
-        except Exception as fault:  # the day must end with the reason, whatever it is
+        except Exception as fault:  # the simulation must end with the reason, whatever it is
             traceback.print_exc(file=sys.stderr)
             reply += [f"speaking\ti={number}", f"bail_out\ttext={type(fault).__name__}: {fault}"]
             return
-        # On this wire an attempt has gone out once it is sent: there is nothing to take back.
+        # In this protocol an attempt has left the node once it is sent, so there is nothing to withdraw.
         if actions := [action for action in actions if not isinstance(action, api.Withdraw)]:
             reply.append(f"speaking\ti={number}")
             reply += [ACTIONS[type(action)](action) for action in actions]
--- a/pipitledge/node/endings.py
+++ b/pipitledge/node/endings.py
@@ -48,7 +48,7 @@
     WATCH_REPLACED = "watch-replaced"
 
 
-# The one place where an execution's ending becomes the module's outcome. FULL, CONNECT_FAILED and MOOT
+# The one place where an execution's ending becomes the module's outcome. FULL, CONNECT_FAILED and NOT_SENT
 # promise that the job never ran, so only endings before the request's last byte may map to them, or those for
 # which the worker itself has given the proof since.
 RESULTS = {
@@ -65,8 +65,8 @@
     Ending.BROKEN_ANSWER: Result.RESET,
     Ending.OUT_OF_TIME: Result.TIMEOUT,
     Ending.CALLED_OFF: Result.CANCELLED,
-    Ending.NEVER_SENT: Result.MOOT,
-    Ending.TAKEN_BACK: Result.MOOT,
+    Ending.NEVER_SENT: Result.NOT_SENT,
+    Ending.TAKEN_BACK: Result.NOT_SENT,
     Ending.OUR_FAULT: Result.RESET,
     Ending.PROVED_UNPRINTED: Result.CONNECT_FAILED,
     Ending.MAY_HAVE_PRINTED: Result.RESET,
