--- a/benchmarks/attempts_files.py
+++ b/benchmarks/attempts_files.py
@@ -17,7 +17,7 @@
 from pipitledge.attempts.plans import Loader
 from pipitledge.conf.parse import finish
 from pipitledge.emulator import site
-from pipitledge.node.counters import Counters, Log, plain, writer
+from pipitledge.node.counters import Counters, Log, log_writer, write_plain
 
 ROUTES = 1_000
 
@@ -96,7 +96,7 @@
     took = {}
     real, sys.stdout = sys.stdout, io.StringIO()
     try:
-        writers = {"plain": plain, "json": writer("json")}
+        writers = {"plain": write_plain, "json": log_writer("json")}
         for _ in range(5):
             for name, write in writers.items():
                 log = Log(Counters(), write)
--- a/pipitledge/__main__.py
+++ b/pipitledge/__main__.py
@@ -16,7 +16,7 @@
 from pipitledge.node import config
 from pipitledge.node.budget import bodies, budget
 from pipitledge.node.console import Console
-from pipitledge.node.counters import Counters, Log, writer
+from pipitledge.node.counters import Counters, Log, log_writer
 from pipitledge.node.dispatch import Dispatch
 from pipitledge.node.front import Front, listen_at
 from pipitledge.node.host_group import HostGroup
@@ -38,7 +38,7 @@
     counters = Counters()
     log = Log(counters)
     try:
-        log.write = writer(os.environ.get("PIPITLEDGE_LOG_FORMAT", ""))
+        log.write = log_writer(os.environ.get("PIPITLEDGE_LOG_FORMAT", ""))
     except (ValueError, ImportError) as fault:  # structlog is no part of what a node needs
         log("config", error=f"PIPITLEDGE_LOG_FORMAT: {fault}")
         return 2
@@ -61,7 +61,7 @@
             front.stop()
             if printing is not None:
                 printing.stop()
-                timers.at(front.duty.gone_by_ms, scheduler.stop)  # what is answered last is out by then
+                timers.at(front.duty.exit_by_ms, scheduler.stop)  # what is answered last is out by then
 
     told: config.Config
     printing: PrintSide | None = None
@@ -97,7 +97,7 @@
                 moved=new.discovery != old.discovery,
                 settings="changed" if settings else "same",
                 classes=",".join(map(bytes.decode, new.names.classes)),
-                needs_restart=",".join(config.changed(started, new)) or "-",
+                needs_restart=",".join(config.restart_required_keys(started, new)) or "-",
             )
 
         plans.reload(new, take)
@@ -164,7 +164,7 @@
     front.plan_of = plans.plan
     operations = Operations(dispatch, group, front, succession.ask_others)
     if console is not None:
-        console.answerer = operations.answer
+        console.call_handler = operations.answer
     household = Household(succession, front, group, pool, dispatch, operations, told)
     if claimed is not None:
         household.inherit(claimed)
--- a/pipitledge/node/budget.py
+++ b/pipitledge/node/budget.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from pipitledge.node.console import PLACES
+from pipitledge.node.console import MAX_CONNECTIONS
 from pipitledge.node.front import SPARE
 
 # Descriptors: standard streams, signals, listeners, watch and its successor, those of an upgrade, and some that
 # libraries open; callers at the second address.
-BASE = 24 + PLACES
+BASE = 24 + MAX_CONNECTIONS
 # Of the rest, for server links: clients need a third of all for requests, and the widest list of workers
 # takes a connection for each of its slots.
 LINK_SHARE = 0.4
--- a/pipitledge/node/config.py
+++ b/pipitledge/node/config.py
@@ -10,7 +10,7 @@
 
 from pipitledge.decision.interface import Settings
 from pipitledge.decision.settings import settings_from
-from pipitledge.node.settings_file import NONE, Broken, Numbers, check, check_against, renumbered
+from pipitledge.node.settings_file import NO_INDEXES, InvalidSettingsFile, NameIndexes, check, check_against, renumbered
 
 Address = tuple[str, int]
 
@@ -28,11 +28,11 @@
     zones: Mapping[str, int]
     kinds: Mapping[str, int]
     default_zone: int = 0
-    numbers: Numbers = NONE  # vanished names too
+    numbers: NameIndexes = NO_INDEXES  # vanished names too
 
 
 @dataclass(frozen=True, slots=True)
-class TierTold:
+class TierConfig:
     """The block `tier`: the node's part in one policy for the whole tier."""
 
     name: str  # this node's, among the members
@@ -68,7 +68,7 @@
     printers: str = ""  # path of the file of printers; empty: the node does not print
     ipp_listen: str = ""
     ipp_store: str = ""  # path of the store of print jobs; empty: they are kept in memory
-    tier: TierTold | None = None  # None: this node's policy is its own file's
+    tier: TierConfig | None = None  # None: this node's policy is its own file's
 
 
 def address(text: str) -> Address:
@@ -103,16 +103,16 @@
                 raw = json.load(file)
             (check(raw) if in_force is None else check_against(in_force.raw, raw))
         config = _config(raw, environ)
-        return config if in_force is None else _carried(config, in_force)
+        return config if in_force is None else _with_stable_indexes(config, in_force)
     except ConfigError:
         raise
-    except Broken as fault:
+    except InvalidSettingsFile as fault:
         raise ConfigError(str(fault)) from fault
     except Exception as fault:  # a reload must outlive whatever a file may hold
         raise ConfigError(f"{type(fault).__name__}: {fault}") from fault
 
 
-def under(
+def with_settings(
     told: Config, settings: Mapping[str, Any], environ: Mapping[str, str], in_force: Config, against: bool
 ) -> Config:
     """The same configuration with other settings, in the numbers of the one in force.
@@ -122,16 +122,16 @@
     raw = {**told.raw, "settings": settings}
     try:
         check_against(in_force.raw, raw) if against else check(raw)
-        return replace(_carried(_config(raw, environ), in_force), known=told.known)
+        return replace(_with_stable_indexes(_config(raw, environ), in_force), known=told.known)
     except ConfigError:
         raise
-    except Broken as fault:
+    except InvalidSettingsFile as fault:
         raise ConfigError(str(fault)) from fault
     except Exception as fault:  # whatever a document may hold
         raise ConfigError(f"{type(fault).__name__}: {fault}") from fault
 
 
-def changed(old: Config, new: Config) -> list[str]:
+def restart_required_keys(old: Config, new: Config) -> list[str]:
     """Keys that differ and that only a restart takes over."""
     return [
         key
@@ -153,9 +153,9 @@
     ]
 
 
-def _carried(new: Config, old: Config) -> Config:
+def _with_stable_indexes(new: Config, old: Config) -> Config:
     stated, known = new.names.numbers, old.names.numbers
-    numbers = known.grown(*map(list, (stated.classes, stated.tenants, stated.zones, stated.kinds)))
+    numbers = known.with_names(*map(list, (stated.classes, stated.tenants, stated.zones, stated.kinds)))
     names = Names(
         classes={name.encode(): numbers.classes[name] for name in stated.classes},
         tenants={name.encode(): numbers.tenants[name] for name in stated.tenants},
@@ -178,7 +178,7 @@
     }
 
 
-def _tier(raw: Mapping[str, Any]) -> TierTold | None:
+def _tier(raw: Mapping[str, Any]) -> TierConfig | None:
     stated = raw.get("tier")
     if not stated:
         return None
@@ -208,7 +208,7 @@
         for member, where in found.items():
             if where not in peers:
                 raise ConfigError(f"tier.members.{member}: its address is none of peers")
-    return TierTold(
+    return TierConfig(
         name, found, listen, str(stated.get("state") or ""), str(stated.get("key_file") or ""), needs == "all"
     )
 
@@ -229,7 +229,7 @@
         zones=_names(stated.get("zones")),
         kinds=_names(stated.get("shapes")),
         default_zone=int(stated.get("zone", 0)),
-        numbers=Numbers(*(_names(stated.get(key)) for key in ("lanes", "realms", "zones", "shapes"))),
+        numbers=NameIndexes(*(_names(stated.get(key)) for key in ("lanes", "realms", "zones", "shapes"))),
     )
     return Config(
         name=told("name"),
--- a/pipitledge/node/counters.py
+++ b/pipitledge/node/counters.py
@@ -25,23 +25,23 @@
         return json.dumps(dict(sorted(self.counts.items())), separators=(",", ":"))
 
 
-Write = Callable[[float, str, Mapping[str, object]], None]
+LogWriter = Callable[[float, str, Mapping[str, object]], None]
 
 
-def plain(now: float, event: str, fields: Mapping[str, object]) -> None:
+def write_plain(now: float, event: str, fields: Mapping[str, object]) -> None:
     """Write time, event and key=value."""
     stamp = time.strftime("%H:%M:%S", time.gmtime(now)) + f".{int(now * 1000) % 1000:03d}"
     words = [f"{name}={str(value).replace(chr(10), ' | ')}" for name, value in fields.items()]
     print(stamp, event, *words, file=sys.stdout, flush=True)
 
 
-def writer(form: str) -> Write:
+def log_writer(form: str) -> LogWriter:
     """The writer for a log format: empty or `plain`, or `json`, which is structlog's and imported only then.
 
     structlog takes 13 MB resident, of 32 that a node may have; that is why the plain lines are written here.
     """
     if form in ("", "plain"):
-        return plain
+        return write_plain
     if form != "json":
         raise ValueError(f"log format {form!r}: plain or json")
     import structlog
@@ -64,7 +64,7 @@
 
     PER_SECOND = 20
 
-    def __init__(self, counters: Counters, write: Write = plain) -> None:
+    def __init__(self, counters: Counters, write: LogWriter = write_plain) -> None:
         """Count what is left out, so that a flood is seen without being written."""
         self.counters, self.write = counters, write
         self._second, self._lines = 0, Counter[str]()
--- a/pipitledge/node/front.py
+++ b/pipitledge/node/front.py
@@ -21,8 +21,8 @@
 from pipitledge.node.config import Address, Names
 from pipitledge.node.counters import Counters, Log
 from pipitledge.node.dispatch import Answer, Dispatch, Failure, Query, Served, Throttle
-from pipitledge.node.duty import Duty
 from pipitledge.node.endings import Ending
+from pipitledge.node.lifecycle import NodeLifecycle
 from pipitledge.node.plan_file import PlanOf, unlimited
 from pipitledge.node.server_link import Passage
 
@@ -201,7 +201,7 @@
 
     def _closes(self) -> bool:
         """Whether the answer ends the connection. With an heir it is passed on, which costs the client nothing."""
-        return (self.front.duty.sheds and self.front.heir is None) or self.over_budget or self.out_of_turn
+        return (self.front.duty.is_shedding and self.front.heir is None) or self.over_budget or self.out_of_turn
 
     def _write(self, parts: Sequence[Part]) -> bool:
         return self.stream.write(parts, self.front.clock.now() + WRITE_MS)
@@ -353,7 +353,7 @@
         self.fresh: dict[ClientLink, None] = {}  # no whole request has come yet; longest here first
         self.partial: dict[ClientLink, None] = {}  # part of a request has come; longest silent first
         self.lingering: dict[ClientLink, None] = {}  # told what was bad, and not gone yet
-        self.duty = Duty()
+        self.duty = NodeLifecycle()
         self._due: Timer | None = None  # of the next stage of duty
         self.on_duty: Callable[[], None] = lambda: None  # told when the stage of duty changes
         self.stopped: bool = False
@@ -404,7 +404,7 @@
     def _link(self, sock: socket.socket, used: bool) -> None:
         over = len(self.links) >= self.most and not self._shed()  # only now: somebody did come
         link = ClientLink(self, sock, over, used)
-        if self.duty.sheds:
+        if self.duty.is_shedding:
             link.leave = Ending.STOPPING
         self.links.add(link)
 
@@ -456,7 +456,7 @@
         if self.duty.stop(self.clock.now(), longest):
             self._follow()
             self.scheduler.timers.at(self.duty.end_by_ms, self.dispatch.end_all)
-            self.scheduler.timers.at(self.duty.gone_by_ms, self._end)
+            self.scheduler.timers.at(self.duty.exit_by_ms, self._end)
 
     @property
     def takes(self) -> bool:
@@ -508,8 +508,8 @@
         self.dispatch.end_by_ms = duty.end_by_ms
         if self._due is not None:
             self._due.cancel()
-        self._due = self.scheduler.timers.at(duty.due_ms, self._tick) if duty.due_ms < math.inf else None
-        if duty.sheds:
+        self._due = self.scheduler.timers.at(duty.next_stage_ms, self._tick) if duty.next_stage_ms < math.inf else None
+        if duty.is_shedding:
             for link in [*self.idle, *self.fresh, *self.partial, *self.lingering]:
                 self._close_idle(link, Ending.STOPPING)
         if duty.is_closing:
--- a/pipitledge/node/peer_membership.py
+++ b/pipitledge/node/peer_membership.py
@@ -7,42 +7,43 @@
 
 from pipitledge.decision.interface import Settings
 
-BEAT_MS, SILENT_MS = 400.0, 1_600.0  # some of the messages are lost: four in a row are none by chance
-SERVES, OUT = b"pl1+", b"pl1-"
+HEARTBEAT_MS, SILENCE_TIMEOUT_MS = 400.0, 1_600.0  # some of the messages are lost: four in a row are none by chance
+SERVING, NOT_SERVING = b"pl1+", b"pl1-"
 
 
-class Membership:
+class PeerMembership:
     """Told what peers say and what time it is, it knows the numbers of those that serve."""
 
     def __init__(self, number: int, instances: int) -> None:
         """Count everybody as there; who has never been heard may be unable to say so."""
         self.number, self.instances = number, instances
-        self._heard_ms = [math.inf] * instances  # never: it can't be silent
+        self._last_heard_ms = [math.inf] * instances  # never: it can't be silent
         self._serves = [True] * instances
 
-    def heard(self, number: int, said: bytes, now_ms: float) -> bool:
+    def record(self, number: int, said: bytes, now_ms: float) -> bool:
         """Take a peer's word on itself; False where it is none."""
-        if number == self.number or not 0 <= number < self.instances or said not in (SERVES, OUT):
+        if number == self.number or not 0 <= number < self.instances or said not in (SERVING, NOT_SERVING):
             return False
-        self._heard_ms[number], self._serves[number] = now_ms, said == SERVES
+        self._last_heard_ms[number], self._serves[number] = now_ms, said == SERVING
         return True
 
-    def there(self, now_ms: float) -> tuple[int, ...]:
+    def serving(self, now_ms: float) -> tuple[int, ...]:
         """The numbers of those that serve; our own is always one."""
         return tuple(
             number
             for number in range(self.instances)
-            if number == self.number or (self._serves[number] and now_ms < self._heard_ms[number] + SILENT_MS)
+            if number == self.number
+            or (self._serves[number] and now_ms < self._last_heard_ms[number] + SILENCE_TIMEOUT_MS)
         )
 
 
-def settings_among(settings: Settings, there: tuple[int, ...]) -> Settings:
+def settings_for_members(settings: Settings, serving: tuple[int, ...]) -> Settings:
     """The settings of one of those that serve. The cold budget stays what it was: all may believe to be alone."""
-    if len(there) == settings.instances or settings.number not in there:
+    if len(serving) == settings.instances or settings.number not in serving:
         return settings
     return replace(
         settings,
-        instances=len(there),
-        number=there.index(settings.number),
-        overload_factor=settings.overload_factor * len(there) / settings.instances,
+        instances=len(serving),
+        number=serving.index(settings.number),
+        overload_factor=settings.overload_factor * len(serving) / settings.instances,
     )
--- a/pipitledge/node/peers.py
+++ b/pipitledge/node/peers.py
@@ -10,9 +10,9 @@
 from pipitledge.net.timers import Clock
 from pipitledge.node.config import Address
 from pipitledge.node.counters import Counters, Log
-from pipitledge.node.peer_membership import BEAT_MS, OUT, SERVES, Membership
+from pipitledge.node.peer_membership import HEARTBEAT_MS, NOT_SERVING, SERVING, PeerMembership
 
-AT_ONCE, LONGEST = 64, 256  # datagrams read in a round; bytes of one
+MAX_DATAGRAMS_PER_READ, MAX_DATAGRAM_BYTES = 64, 256  # datagrams read in a round; bytes of one
 
 
 class Peers:
@@ -26,22 +26,24 @@
         log: Log,
         listen: Address,
         peers: Sequence[Address],
-        everybody: Address | None,
-        membership: Membership,
+        shared_target: Address | None,
+        membership: PeerMembership,
     ) -> None:
         """Know the addresses; `start` opens the socket."""
         self.scheduler, self.clock, self.counters, self.log = scheduler, clock, counters, log
         self.listen, self.membership = listen, membership
         self.numbers = {address: number for number, address in enumerate(peers)}
         self.targets = (
-            [everybody]
-            if everybody is not None
+            [shared_target]
+            if shared_target is not None
             else [address for address, number in self.numbers.items() if number != membership.number]
         )
-        self.there = membership.there(clock.now())
+        self.serving = membership.serving(clock.now())
         self.serves: Callable[[], bool] = lambda: True
-        self.changed: Callable[[], None] = lambda: None
-        self.other: Callable[[bytes, Address], bool] = lambda said, sender: False  # takes what is no word on serving
+        self.on_change: Callable[[], None] = lambda: None
+        self.on_other_datagram: Callable[[bytes, Address], bool] = lambda datagram, sender: (
+            False
+        )  # takes what is no word on serving
         self.sock: socket.socket | None = None
         self._task: Task | None = None
 
@@ -68,7 +70,7 @@
             sock.close()
             self._task.wake()
 
-    def beat(self) -> None:
+    def announce(self) -> None:
         """Say at once what is to be said at the next beat: the node's duty has changed."""
         if self._task is not None:
             self._task.wake()
@@ -80,37 +82,37 @@
             if self.sock is not sock:
                 return
             if why is Wake.READY:
-                self._hear(sock)
+                self._receive(sock)
             else:
-                self._say(sock)
-                due = self.clock.now() + BEAT_MS
-            there = self.membership.there(self.clock.now())
-            if there != self.there:
-                self.there = there
-                self.log("peers", there=",".join(map(str, there)), of=self.membership.instances)
-                self.changed()
+                self._announce(sock)
+                due = self.clock.now() + HEARTBEAT_MS
+            serving = self.membership.serving(self.clock.now())
+            if serving != self.serving:
+                self.serving = serving
+                self.log("peers", there=",".join(map(str, serving)), of=self.membership.instances)
+                self.on_change()
 
-    def _hear(self, sock: socket.socket) -> None:
-        for _ in range(AT_ONCE):
+    def _receive(self, sock: socket.socket) -> None:
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
-                said, sender = sock.recvfrom(LONGEST)
+                datagram, sender = sock.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:  # nothing more, or a peer's port was closed
                 return
-            if sender in self.numbers and self.other(said, sender):
+            if sender in self.numbers and self.on_other_datagram(datagram, sender):
                 continue
-            known = self.membership.heard(self.numbers.get(sender, -1), said, self.clock.now())
+            known = self.membership.record(self.numbers.get(sender, -1), datagram, self.clock.now())
             self.counters.add("peer.heard" if known else "peer.ignored")
 
-    def post(self, said: bytes, target: Address) -> bool:
+    def send(self, datagram: bytes, target: Address) -> bool:
         """Send a datagram of another's to a peer; False where there is no socket."""
         if self.sock is None:
             return False
         with contextlib.suppress(OSError):  # lost, as others are
-            self.sock.sendto(said, target)
+            self.sock.sendto(datagram, target)
         return True
 
-    def _say(self, sock: socket.socket) -> None:
-        word = SERVES if self.serves() else OUT
+    def _announce(self, sock: socket.socket) -> None:
+        word = SERVING if self.serves() else NOT_SERVING
         for target in self.targets:
             with contextlib.suppress(OSError):  # lost, as others are
                 sock.sendto(word, target)
--- a/pipitledge/node/plan_file.py
+++ b/pipitledge/node/plan_file.py
@@ -19,17 +19,17 @@
 class PlanFile:
     """The plans in force. Queries under way keep the plan that they began with: it travels with them."""
 
-    def __init__(self, told: Config, scheduler: Scheduler, clock: Clock, counters: Counters, log: Log) -> None:
+    def __init__(self, config: Config, scheduler: Scheduler, clock: Clock, counters: Counters, log: Log) -> None:
         """Know the file's path; an empty one means that there is none, and every plan allows all."""
-        self.path, self.scheduler, self.clock = told.attempts, scheduler, clock
+        self.path, self.scheduler, self.clock = config.attempts, scheduler, clock
         self.counters, self.log = counters, log
-        self.loader = self._loader_for(told)
+        self.loader = self._loader_for(config)
         self.plans = Plans()
         self._reading = False
-        self._next: tuple[Config, Callable[[bool], None]] | None = None
+        self._pending: tuple[Config, Callable[[bool], None]] | None = None
 
-    def _loader_for(self, told: Config) -> Loader:
-        return Loader(told.settings, dict(told.names.numbers.classes))
+    def _loader_for(self, config: Config) -> Loader:
+        return Loader(config.settings, dict(config.names.numbers.classes))
 
     def plan(self, job_class: int, target: bytes) -> Plan:
         """The plan for a request of this class with this target."""
@@ -37,9 +37,9 @@
 
     def start(self) -> bool:
         """Read the file before the node serves; False if it can't be used: a node without its plans is none."""
-        return not self.path or self._take(finish(self._load(self.loader)), self.loader)
+        return not self.path or self._apply(finish(self._load(self.loader)), self.loader)
 
-    def reload(self, told: Config, then: Callable[[bool], None]) -> None:
+    def reload(self, config: Config, then: Callable[[bool], None]) -> None:
         """Read the file again beside what is served, in slices, against these settings.
 
         `then` is told whether the plans fit, in the same moment in which they come into force. What was asked for
@@ -48,16 +48,16 @@
         if not self.path:
             then(True)
             return
-        self._next = told, then
+        self._pending = config, then
         if not self._reading:
             self._reading = True
             self.scheduler.spawn(self._reload)
 
     def _reload(self) -> None:
         try:
-            while self._next is not None:
-                (told, then), self._next = self._next, None
-                loader = self._loader_for(told)
+            while self._pending is not None:
+                (config, then), self._pending = self._pending, None
+                loader = self._loader_for(config)
                 loader.learned[: len(self.loader.learned)] = self.loader.learned
                 steps = self._load(loader)
                 while True:
@@ -65,7 +65,7 @@
                         next(steps)
                         self._pause()
                     except StopIteration as end:
-                        then(self._take(end.value, loader))
+                        then(self._apply(end.value, loader))
                         break
         finally:
             self._reading = False
@@ -81,7 +81,7 @@
             return Loaded(None, [Mistake(Place(self.path), f"can't be read: {fault.strerror or fault}")])
         return (yield from loader.load(self.path, data))
 
-    def _take(self, loaded: Loaded, loader: Loader) -> bool:
+    def _apply(self, loaded: Loaded, loader: Loader) -> bool:
         """Put plans in force, or keep those there are; what the file says wrong goes to the log, line by line."""
         for mistake in loaded.mistakes:
             what = "plans-mistake" if mistake.severity is Severity.ERROR else "plans-warning"
--- a/pipitledge/node/settings_file.py
+++ b/pipitledge/node/settings_file.py
@@ -10,33 +10,35 @@
 from pipitledge.decision.interface import JobClass, Settings, Tenant
 
 
-class Broken(ValueError):
+class InvalidSettingsFile(ValueError):
     """A file that can't be used; the text names the place and says why."""
 
 
 def check(raw: object) -> None:
     """Check what any file must keep to, the first one too: no number that isn't one, deadlines and attempts above 0."""
     if not isinstance(raw, Mapping):
-        raise Broken("the file holds no object")
-    _finite(raw, "")
+        raise InvalidSettingsFile("the file holds no object")
+    _check_finite(raw, "")
     stated = raw.get("settings")
     if not isinstance(stated, Mapping):
-        raise Broken("settings: no object")
+        raise InvalidSettingsFile("settings: no object")
     lanes = stated.get("lanes")
     if not isinstance(lanes, list) or not lanes:  # without its classes a node can take nothing
-        raise Broken("settings.lanes: " + ("missing" if lanes is None else "no class" if lanes == [] else "no list"))
+        raise InvalidSettingsFile(
+            "settings.lanes: " + ("missing" if lanes is None else "no class" if lanes == [] else "no list")
+        )
     for index, lane in enumerate(lanes):
         if not isinstance(lane, Mapping):
-            raise Broken(f"settings.lanes[{index}]: no object")
+            raise InvalidSettingsFile(f"settings.lanes[{index}]: no object")
         if not lane.get("name"):
-            raise Broken(f"settings.lanes[{index}].name: missing")
+            raise InvalidSettingsFile(f"settings.lanes[{index}].name: missing")
         if "deadline_ms" in lane:
-            _positive(lane["deadline_ms"], f"settings.lanes[{index}].deadline_ms")
+            _check_positive(lane["deadline_ms"], f"settings.lanes[{index}].deadline_ms")
     allowed, limits = stated.get("permissions"), raw.get("limits")
     if isinstance(allowed, Mapping) and "max_attempts" in allowed:
-        _positive(allowed["max_attempts"], "settings.permissions.max_attempts", whole=True)
+        _check_positive(allowed["max_attempts"], "settings.permissions.max_attempts", whole=True)
     for name, value in limits.items() if isinstance(limits, Mapping) else ():
-        _positive(value, f"limits.{name}")
+        _check_positive(value, f"limits.{name}")
 
 
 def check_against(old: Mapping[str, Any], new: object) -> None:
@@ -47,70 +49,70 @@
         if key == "known":
             continue  # the list is discovery's; at a reload it is not read
         if key not in new:
-            raise Broken(f"{key}: missing")
-        _like(value, new[key], key)
+            raise InvalidSettingsFile(f"{key}: missing")
+        _check_same_shape(value, new[key], key)
     lanes = new["settings"].get("lanes") or []
     names = [lane.get("name") for lane in lanes if isinstance(lane, Mapping)]
     if not names:
-        raise Broken("settings.lanes: no class")
+        raise InvalidSettingsFile("settings.lanes: no class")
     if len({*names}) < len(names):
-        raise Broken("settings.lanes: a class is named twice")
+        raise InvalidSettingsFile("settings.lanes: a class is named twice")
     was = len(old["settings"].get("lanes") or [])
     for key, value in (new["settings"].get("specifics") or {}).items():
         known = (old["settings"].get("specifics") or {}).get(key)
         if key.startswith("class_") and isinstance(known, list) and len(known) == was and len(value) != len(lanes):
-            raise Broken(f"settings.specifics.{key}: {len(value)} values for {len(lanes)} classes")
+            raise InvalidSettingsFile(f"settings.specifics.{key}: {len(value)} values for {len(lanes)} classes")
 
 
-def _like(old: Any, new: Any, place: str) -> None:
+def _check_same_shape(old: Any, new: Any, place: str) -> None:
     """Compare kinds all the way down; entries of a list have what all of the list in force have."""
     if isinstance(old, Mapping):
         if not isinstance(new, Mapping):
-            raise Broken(f"{place}: no object")
+            raise InvalidSettingsFile(f"{place}: no object")
         for key, value in old.items():
             if key not in new:
-                raise Broken(f"{place}.{key}: missing")
-            _like(value, new[key], f"{place}.{key}")
+                raise InvalidSettingsFile(f"{place}.{key}: missing")
+            _check_same_shape(value, new[key], f"{place}.{key}")
     elif isinstance(old, list):
         if not isinstance(new, list):
-            raise Broken(f"{place}: no list")
+            raise InvalidSettingsFile(f"{place}: no list")
         entries = [entry for entry in old if isinstance(entry, Mapping)]
         if entries and len(entries) == len(old):
             common = {key: entries[0][key] for key in entries[0] if all(key in entry for entry in entries)}
             for index, entry in enumerate(new):
-                _like(common, entry, f"{place}[{index}]")
+                _check_same_shape(common, entry, f"{place}[{index}]")
         elif old:
             for index, entry in enumerate(new):
-                _like(old[0], entry, f"{place}[{index}]")
-    elif _kind(old) != _kind(new) and old is not None:
-        raise Broken(f"{place}: {str(new)[:40]!r} is no {_kind(old)}")
+                _check_same_shape(old[0], entry, f"{place}[{index}]")
+    elif _type_name(old) != _type_name(new) and old is not None:
+        raise InvalidSettingsFile(f"{place}: {str(new)[:40]!r} is no {_type_name(old)}")
 
 
-def _kind(value: Any) -> str:
+def _type_name(value: Any) -> str:
     if isinstance(value, bool):
         return "true or false"
     return "number" if isinstance(value, int | float) else "text" if isinstance(value, str) else type(value).__name__
 
 
-def _finite(value: Any, place: str) -> None:
+def _check_finite(value: Any, place: str) -> None:
     if isinstance(value, float) and not math.isfinite(value):
-        raise Broken(f"{place}: {value} is no number")
+        raise InvalidSettingsFile(f"{place}: {value} is no number")
     parts = value.items() if isinstance(value, Mapping) else enumerate(value) if isinstance(value, list) else ()
     for key, part in parts:
-        _finite(part, (f"{place}.{key}" if place else str(key)) if isinstance(key, str) else f"{place}[{key}]")
+        _check_finite(part, (f"{place}.{key}" if place else str(key)) if isinstance(key, str) else f"{place}[{key}]")
 
 
-def _positive(value: Any, place: str, whole: bool = False) -> None:
+def _check_positive(value: Any, place: str, whole: bool = False) -> None:
     number = isinstance(value, int | float) and not isinstance(value, bool)
     if not number or not value > 0 or (whole and value != int(value)):
-        raise Broken(f"{place}: {str(value)[:40]!r} is no positive {'whole ' if whole else ''}number")
+        raise InvalidSettingsFile(f"{place}: {str(value)[:40]!r} is no positive {'whole ' if whole else ''}number")
 
 
 # ---- numbers that keep their meaning
 
 
 @dataclass(frozen=True, slots=True)
-class Numbers:
+class NameIndexes:
     """All names there have been since the start, by their number in the module."""
 
     classes: Mapping[str, int]
@@ -118,29 +120,29 @@
     zones: Mapping[str, int]
     kinds: Mapping[str, int]
 
-    def grown(
+    def with_names(
         self, classes: Sequence[str], tenants: Sequence[str], zones: Sequence[str], kinds: Sequence[str]
-    ) -> Numbers:
+    ) -> NameIndexes:
         """Add names that are new."""
-        return Numbers(
-            _grown(self.classes, classes),
-            _grown(self.tenants, tenants),
-            _grown(self.zones, zones),
-            _grown(self.kinds, kinds),
+        return NameIndexes(
+            _extended(self.classes, classes),
+            _extended(self.tenants, tenants),
+            _extended(self.zones, zones),
+            _extended(self.kinds, kinds),
         )
 
 
-NONE = Numbers({}, {}, {}, {})
+NO_INDEXES = NameIndexes({}, {}, {}, {})
 
 
-def _grown(known: Mapping[str, int], names: Sequence[str]) -> Mapping[str, int]:
-    grown = dict(known)
+def _extended(known: Mapping[str, int], names: Sequence[str]) -> Mapping[str, int]:
+    with_names = dict(known)
     for name in names:
-        grown.setdefault(name, len(grown))
-    return grown
+        with_names.setdefault(name, len(with_names))
+    return with_names
 
 
-def renumbered(settings: Settings, stated: Numbers, numbers: Numbers, old: Settings) -> Settings:
+def renumbered(settings: Settings, stated: NameIndexes, numbers: NameIndexes, old: Settings) -> Settings:
     """Settings with the file's numbers, in those that hold; what has vanished keeps its old place and values."""
     kinds = {index: numbers.kinds[name] for name, index in stated.kinds.items()}
     classes: list[JobClass] = [*old.classes, *settings.classes][: len(numbers.classes)]
--- a/pipitledge/node/signals.py
+++ b/pipitledge/node/signals.py
@@ -18,33 +18,33 @@
     A pipe and not a socket pair: the latter is a Unix socket, which a node's process may be refused.
     """
 
-    def __init__(self, scheduler: Scheduler, numbers: Iterable[int], take: Callable[[int], None]) -> None:
+    def __init__(self, scheduler: Scheduler, numbers: Iterable[int], handle: Callable[[int], None]) -> None:
         """Catch these signals from now on."""
-        self.scheduler, self.take = scheduler, take
-        self.ours, self.wakes = os.pipe()
-        os.set_blocking(self.ours, False)
-        os.set_blocking(self.wakes, False)
-        signal.set_wakeup_fd(self.wakes, warn_on_full_buffer=False)
+        self.scheduler, self.handle = scheduler, handle
+        self.read_fd, self.write_fd = os.pipe()
+        os.set_blocking(self.read_fd, False)
+        os.set_blocking(self.write_fd, False)
+        signal.set_wakeup_fd(self.write_fd, warn_on_full_buffer=False)
         for number in numbers:
             signal.signal(number, lambda *_: None)
         scheduler.spawn(self._listen)
 
     def _listen(self) -> None:
         while True:
-            self.scheduler.wait(fd=self.ours)
+            self.scheduler.wait(fd=self.read_fd)
             try:
-                numbers = os.read(self.ours, 64)
+                numbers = os.read(self.read_fd, 64)
             except BlockingIOError:
                 continue
             if not numbers:
                 raise RuntimeError("signal pipe closed")  # waiting on would spin
             for number in numbers:
                 try:
-                    self.take(number)
+                    self.handle(number)
                 except Exception as fault:  # whatever one signal leads to, the next must be heard
                     self.scheduler.crashed(fault)
 
     def close(self) -> None:
         """Let go of both ends; the caller has put the interpreter's wakeup descriptor back."""
-        os.close(self.ours)
-        os.close(self.wakes)
+        os.close(self.read_fd)
+        os.close(self.write_fd)
--- a/pipitledge/tier/begin.py
+++ b/pipitledge/tier/begin.py
@@ -7,7 +7,7 @@
 
 from pipitledge.net.scheduler import Scheduler
 from pipitledge.net.timers import Clock
-from pipitledge.node.config import Address, Config, ConfigError, TierTold
+from pipitledge.node.config import Address, Config, ConfigError, TierConfig
 from pipitledge.node.counters import Counters, Log
 from pipitledge.node.operations import Operations
 from pipitledge.tier.carrier import PLACES, Carrier, Connections, Datagrams
@@ -20,7 +20,7 @@
     """The node can't start with this tier; the text names the place and the reason."""
 
 
-def open_store(tier: TierTold, log: Log) -> Store | None:
+def open_store(tier: TierConfig, log: Log) -> Store | None:
     """Open the node's disk, before anything else begins; Unusable where what it holds can't be used."""
     if not tier.state:
         return None
@@ -53,15 +53,15 @@
         household.share_out()
     elif household.peers is not None:
         peers = household.peers
-        carrier = Datagrams(peers.post, counters)
+        carrier = Datagrams(peers.send, counters)
 
-        def other(said: bytes, sender: Address) -> bool:
+        def on_other_datagram(said: bytes, sender: Address) -> bool:
             if said[:2] != b"pt":
                 return False
             carrier.received(said, sender)
             return True
 
-        peers.other = other
+        peers.on_other_datagram = on_other_datagram
     else:
         raise Unusable("tier.listen: missing, and settings.n_instances is 1: there are no datagrams")
     try:
--- a/pipitledge/tier/side.py
+++ b/pipitledge/tier/side.py
@@ -28,8 +28,8 @@
 from pipitledge.net.scheduler import Scheduler, Task
 from pipitledge.net.timers import Clock
 from pipitledge.node import config as node_config
-from pipitledge.node.config import Address, Config, ConfigError, TierTold
-from pipitledge.node.console import Call, Yes
+from pipitledge.node.config import Address, Config, ConfigError, TierConfig
+from pipitledge.node.console import Call, Success
 from pipitledge.node.counters import Counters, Log
 from pipitledge.node.dispatch import Throttle
 from pipitledge.tier import agreement as ag
@@ -65,7 +65,7 @@
         return self.plans.plan(job_class, target.decode("latin-1")) if self.plans.classes else UNLIMITED
 
 
-def first_document(told: Config, tier: TierTold) -> Document:
+def first_document(told: Config, tier: TierConfig) -> Document:
     """The document that this node's own files make; ConfigError where they can't be read."""
     plans = ""
     if told.attempts:
@@ -377,7 +377,7 @@
             except ConfigError as fault:
                 raise ConfigError(f"members.{name}: {fault}") from fault
         settings = document.placed(made, self.told.raw["settings"])
-        config = node_config.under(self.told, settings, os.environ, told, against)
+        config = node_config.with_settings(self.told, settings, os.environ, told, against)
         zone, zones = settings.get("zone", 0), settings.get("zones") or [""]
         if not isinstance(zone, int) or not 0 <= zone < len(zones):
             raise ConfigError(f"settings.zones: this node's zone {zone} is none of {len(zones)}")
@@ -395,7 +395,7 @@
     def _compiled(self, digest: bytes) -> Compiled | None:
         """A document in the numbers that hold now; None where it can't be used at this place at all."""
         known = self.compiled.get(digest)
-        if known is not None and known.config.names.numbers == self.household.told.names.numbers.grown(
+        if known is not None and known.config.names.numbers == self.household.told.names.numbers.with_names(
             *map(
                 list,
                 (
@@ -499,7 +499,7 @@
             discovery="{}:{}".format(*new.discovery),
             moved=new.discovery != told.discovery,
             settings="the tier's",
-            needs_restart=",".join(node_config.changed(told, new)) or "-",
+            needs_restart=",".join(node_config.restart_required_keys(told, new)) or "-",
         )
 
     # ---- an upgrade of this node
@@ -548,19 +548,19 @@
         word, *rest = call.words
         try:
             if word == "STATUS" and not rest:
-                return Yes(json.dumps(self.status()))
+                return Success(json.dumps(self.status()))
             if word == "SHOW" and len(rest) <= 1:
                 return self._show(rest[0] if rest else "")
             if word == "HISTORY" and not rest:
-                return Yes(json.dumps(list(self.history)))
+                return Success(json.dumps(list(self.history)))
             if word == "ABORT" and not rest:
                 no = self.node.abort(boot_ms())
                 self._carry_out()
-                return no or Yes("{}")
+                return no or Success("{}")
             if word == "VOUCH" and len(rest) == 1:
                 no = self.node.vouch(rest[0])
                 self.log("tier", vouched=rest[0], refused=no or "-")
-                return no or Yes("{}")
+                return no or Success("{}")
             if word == "OUTCOME" and len(rest) == 1:
                 return self._outcome(rest[0])
             if word == "PROPOSE" and len(rest) == 2:
@@ -576,7 +576,7 @@
             else [self.node.entry]
         ):
             if entry.digest in self.shelf.read:
-                return Yes(
+                return Success(
                     json.dumps(
                         {
                             "version": entry.version,
@@ -589,9 +589,9 @@
 
     def _outcome(self, digest: str) -> str:
         if digest in self.outcomes and self.outcomes[digest][2] not in self.shelf.coming:  # with its name
-            return Yes(json.dumps(self._became(digest)))
+            return Success(json.dumps(self._became(digest)))
         if self.node.wanted.hex() == digest or digest in self.outcomes:
-            return Yes(json.dumps({"result": "under way", "why": ""}))
+            return Success(json.dumps({"result": "under way", "why": ""}))
         return "no such change was proposed here"
 
     def _propose(self, made_from: str, body: bytes) -> str:
@@ -631,7 +631,7 @@
         self._carry_out()
         if self.task is not None:
             self.task.wake()
-        return Yes(json.dumps({"id": digest.hex()}))
+        return Success(json.dumps({"id": digest.hex()}))
 
     def status(self) -> dict[str, Any]:
         """Where this node and, as far as it has heard, the others stand."""
--- a/pipitledge/upgrade/household.py
+++ b/pipitledge/upgrade/household.py
@@ -20,7 +20,7 @@
 from pipitledge.upgrade.succession import Claim, Partner, Succession
 
 if TYPE_CHECKING:  # a node that talks to no other one must not pay for it
-    from pipitledge.node.peer_membership import Membership
+    from pipitledge.node.peer_membership import PeerMembership
     from pipitledge.node.peers import Peers
 
 
@@ -58,7 +58,11 @@
                 told.peers_all,
                 self._membership(),
             )
-            self.peers.changed, self.peers.serves, front.on_duty = self._put_in_force, self._serves, self.peers.beat
+            self.peers.on_change, self.peers.serves, front.on_duty = (
+                self._put_in_force,
+                self._serves,
+                self.peers.announce,
+            )
         succession.hand_over, succession.take_back = self._hand_over, self._take_back
         succession.alone, succession.over = self._alone, dispatch.elsewhere.difference_update
         succession.adopt, succession.do = front.adopt, self._do
@@ -76,23 +80,23 @@
         self.share_out()
         self.group.move(told.discovery)
 
-    def _membership(self) -> Membership:
-        from pipitledge.node.peer_membership import Membership
+    def _membership(self) -> PeerMembership:
+        from pipitledge.node.peer_membership import PeerMembership
 
-        return Membership(self.told.settings.number, self.told.settings.instances)
+        return PeerMembership(self.told.settings.number, self.told.settings.instances)
 
     def _serves(self) -> bool:
         """What the other nodes are told: clients may use their connections on for a while."""
         duty = self.front.duty
-        return duty.is_ready or (not duty.sheds and self.dispatch.open > 0)
+        return duty.is_ready or (not duty.is_shedding and self.dispatch.open > 0)
 
     def _put_in_force(self) -> None:
         """Tell the module its settings: those told, among the nodes that are there."""
         settings = self.told.settings
         if self.peers is not None:
-            from pipitledge.node.peer_membership import settings_among
+            from pipitledge.node.peer_membership import settings_for_members
 
-            settings = settings_among(settings, self.peers.there)
+            settings = settings_for_members(settings, self.peers.serving)
         if self.succession.heir is not None:  # cold workers' budgets are the heir's from now on
             settings = replace(settings, overload_factor=0.0)
         self.dispatch.events.append(SettingsChanged(settings))
@@ -139,7 +143,7 @@
             list(group.raw.values()),
             group.out,
             group.cold_from,
-            duty.lame_since_ms,
+            duty.draining_since_ms,
             list(self.dispatch.queries),
             learned,
             self.give_voice(),
@@ -158,5 +162,5 @@
         self.share_out()
 
     def _do(self, call: Call, source: Partner) -> str | None:
-        self.operations.relayed(call)
+        self.operations.apply_relayed(call)
         return self.succession.ask_others(call, source)
--- a/pipitledge/upgrade/knowledge.py
+++ b/pipitledge/upgrade/knowledge.py
@@ -7,13 +7,13 @@
 
 from pipitledge.decision.interface import Inherited, WorkerRecord
 from pipitledge.decision.policy import Policy
-from pipitledge.node.settings_file import Numbers
+from pipitledge.node.settings_file import NameIndexes
 
 BY_CLASS, BY_KIND = ("run_ms", "per_hint"), ("slots", "kind_slowness")
 FIGURES = ("spill", "fleet_failures", "dead")
 
 
-def learned_by(policy: Policy, numbers: Numbers) -> dict[str, Any]:
+def learned_by(policy: Policy, numbers: NameIndexes) -> dict[str, Any]:
     """Tell what the module has learned."""
     by_name = {
         what: {name: getattr(policy, what)[number] for name, number in names.items()}
@@ -26,7 +26,7 @@
     return by_name | {what: getattr(policy, what) for what in FIGURES} | {"workers": workers}
 
 
-def inherited(raw: Mapping[str, Any], numbers: Numbers, policy: Policy) -> Inherited | None:
+def inherited(raw: Mapping[str, Any], numbers: NameIndexes, policy: Policy) -> Inherited | None:
     """Read it for a module that has learned nothing yet; None where it can't be read: then it begins anew."""
     try:
         by_number = []
--- a/tests/net_helper.py
+++ b/tests/net_helper.py
@@ -20,9 +20,9 @@
 from pipitledge.node.config import Names
 from pipitledge.node.counters import Counters
 from pipitledge.node.dispatch import Answer, Dispatch
-from pipitledge.node.duty import Duty
 from pipitledge.node.front import ClientLink, Front
 from pipitledge.node.host_group import HostGroup
+from pipitledge.node.lifecycle import NodeLifecycle
 from pipitledge.node.server_link import Passage, Pool, ServerLink
 
 DERANDOMISED = settings(derandomize=True, deadline=None, max_examples=100, database=None)
@@ -165,7 +165,7 @@
                 "fresh": {},
                 "partial": {},
                 "lingering": {},
-                "duty": Duty(),
+                "duty": NodeLifecycle(),
                 "_due": None,
                 "heir": None,
                 "on_duty": lambda: None,
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -10,18 +10,28 @@
 from hypothesis import strategies as st
 from net_helper import DERANDOMISED, Rig, read
 
-from pipitledge.node import duty as times
-from pipitledge.node.console import LINE_MS, MOST_LINE, PLACES, BadCall, Call, CallSide, Console, Verb, read_call
-from pipitledge.node.duty import LAME, SHED_END_MS, SHED_MS, STOPS, Duty, Stage
+from pipitledge.node import lifecycle as times
+from pipitledge.node.console import (
+    LINE_TIMEOUT_MS,
+    MAX_CONNECTIONS,
+    MAX_LINE_BYTES,
+    Call,
+    CallParser,
+    Console,
+    InvalidCall,
+    Verb,
+    read_call,
+)
+from pipitledge.node.lifecycle import DRAIN_MS, DRAIN_STAGES, SHED_DELAY_MS, STOP_STAGES, NodeLifecycle, Stage
 
 
-def called(side: CallSide, parts: list[bytes]) -> Call | str | None:
+def called(side: CallParser, parts: list[bytes]) -> Call | str | None:
     try:
         for part in parts:
             if (call := side.receive(part)) is not None:
                 return call
         side.end()
-    except BadCall as fault:
+    except InvalidCall as fault:
         return str(fault)
     return None
 
@@ -34,10 +44,10 @@
 def test_a_call_is_the_same_however_its_bytes_fall(line: bytes, cuts: list[int]) -> None:
     at = [0, *sorted(cuts), len(line)]
     pieces = [line[start:end] for start, end in itertools.pairwise(at)]
-    whole = called(CallSide(), [line])
-    assert called(CallSide(), pieces) == whole
+    whole = called(CallParser(), [line])
+    assert called(CallParser(), pieces) == whole
     head, end, _ = line.partition(b"\n")
-    if not end or len(head) >= MOST_LINE:
+    if not end or len(head) >= MAX_LINE_BYTES:
         assert whole in ("half a call", "line too long")
 
 
@@ -61,7 +71,7 @@
     [b"", b" ", b"ping", b"PONG", b"PING PING", b"DETACH", b"DETACH a b", b"ATTACH \xff", b"DETACH " + b"x" * 129],
 )
 def test_what_is_no_call_is_told(line: bytes) -> None:
-    with pytest.raises(BadCall):
+    with pytest.raises(InvalidCall):
         read_call(line)
 
 
@@ -105,7 +115,7 @@
     ):
         caller = operators.caller(said)
         assert read(caller) == answer and read(caller) is None
-    assert operators.calls == [Call(Verb.PING), Call(Verb.DETACH, "s-9")] and not operators.console.callers
+    assert operators.calls == [Call(Verb.PING), Call(Verb.DETACH, "s-9")] and not operators.console.connections
 
 
 def test_slow_half_and_silent_callers_hold_nobody_up(rig: Rig) -> None:
@@ -114,11 +124,11 @@
     half.shutdown(socket.SHUT_WR)
     rig.settle()
     assert read(half) == b"-ERR half a call\n"
-    slow = [operators.caller(b"PI" if number % 2 else b"") for number in range(PLACES + 3)]
+    slow = [operators.caller(b"PI" if number % 2 else b"") for number in range(MAX_CONNECTIONS + 3)]
     assert read(operators.caller(b"PING\n")) == b"+OK\n"
     assert [read(sock) for sock in slow[:4]] == [None] * 4 and read(slow[-1]) == b""  # the eldest gave way
-    rig.settle(LINE_MS)
-    assert read(slow[-1]) == b"-ERR too slow\n" and not operators.console.callers
+    rig.settle(LINE_TIMEOUT_MS)
+    assert read(slow[-1]) == b"-ERR too slow\n" and not operators.console.connections
 
 
 def test_a_crowd_at_the_second_address_is_served_in_turn(rig: Rig) -> None:
@@ -136,7 +146,7 @@
     for _ in range(100):
         rig.scheduler.spawn(lambda: order.append("client"))
     sock.send(b"PING\n")
-    operators.console.answerer = lambda _: order.append("call")
+    operators.console.call_handler = lambda _: order.append("call")
     rig.scheduler._poll_once(0.0)
     rig.settle()
     assert order[0] == "call" and len(order) == 101
@@ -144,11 +154,11 @@
 
 def test_a_fault_of_ours_is_answered_no_and_the_next_call_is_heard(rig: Rig) -> None:
     operators = Operators(rig)
-    operators.console.answerer = lambda call: str(1 // 0)
+    operators.console.call_handler = lambda call: str(1 // 0)
     assert read(operators.caller(b"PING\n")) == b"-ERR internal error\n"
     assert [type(fault) for fault in rig.crashes] == [ZeroDivisionError]
     rig.crashes.clear()
-    operators.console.answerer = operators.answer
+    operators.console.call_handler = operators.answer
     assert read(operators.caller(b"PING\n")) == b"+OK\n"
 
 
@@ -160,8 +170,8 @@
     steps=st.lists(st.tuples(st.sampled_from(["lame", "rejoin", "stop", "wait"]), st.integers(0, 3_000)), max_size=12)
 )
 def test_any_order_of_calls_and_signals_leads_to_what_its_model_says(steps: list[tuple[str, int]]) -> None:
-    duty, now = Duty(), 1_000.0
-    kill = min(5_000.0, times.KILL_LONGEST_MS) + times.KILL_AFTER_MS  # the earliest SIGKILL, by the protocol
+    duty, now = NodeLifecycle(), 1_000.0
+    kill = min(5_000.0, times.KILL_DEADLINE_CAP_MS) + times.KILL_MARGIN_MS  # the earliest SIGKILL, by the protocol
     lame_at: float | None = None
     stop_at: float | None = None
     for step, wait in steps:
@@ -179,13 +189,13 @@
             assert news == (stop_at is None)
             stop_at = now if news else stop_at
         assert duty.is_ready == (duty.stage is Stage.SERVING) == (lame_at is None and stop_at is None)
-        assert (duty.stage in STOPS) == (stop_at is not None)
-        assert duty.is_closing == (stop_at is not None and now >= stop_at + kill - times.LAST_MS)
+        assert (duty.stage in STOP_STAGES) == (stop_at is not None)
+        assert duty.is_closing == (stop_at is not None and now >= stop_at + kill - times.CLOSING_MS)
         if stop_at is not None:
-            assert duty.end_by_ms == stop_at + kill - times.SPARE_MS
-            assert duty.sheds == (duty.is_closing or lame_at is not None)
+            assert duty.end_by_ms == stop_at + kill - times.ANSWER_MARGIN_MS
+            assert duty.is_shedding == (duty.is_closing or lame_at is not None)
         elif lame_at is not None:
-            assert duty.stage in LAME and duty.sheds == (now >= lame_at + SHED_MS)
-            assert not duty.sheds or duty.end_by_ms == lame_at + SHED_END_MS
+            assert duty.stage in DRAIN_STAGES and duty.is_shedding == (now >= lame_at + SHED_DELAY_MS)
+            assert not duty.is_shedding or duty.end_by_ms == lame_at + DRAIN_MS
         else:
-            assert not duty.sheds and duty.end_by_ms == duty.due_ms == float("inf")
+            assert not duty.is_shedding and duty.end_by_ms == duty.next_stage_ms == float("inf")
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -665,7 +665,7 @@
     front.names = replace(NAMES, classes={name: NAMES.classes[name] for name in named})
     front.accepting = rig.scheduler.spawn(front._accept)
     front.stop()
-    assert front.duty.end_by_ms < front.duty.gone_by_ms < rig.time + killed_ms == front.duty.end_by_ms + 200.0
+    assert front.duty.end_by_ms < front.duty.exit_by_ms < rig.time + killed_ms == front.duty.end_by_ms + 200.0
 
 
 def test_a_client_that_does_not_take_its_answer_does_not_hold_up_the_end(rig: Rig) -> None:
@@ -677,7 +677,7 @@
     front.stop()
     rig.dispatch._answer(rig.dispatch.queries["a"], Served(bytes(8 << 20)))
     rig.settle()
-    rig.settle(front.duty.gone_by_ms - rig.time - 1.0)
+    rig.settle(front.duty.exit_by_ms - rig.time - 1.0)
     assert not front.stopped and front.links
     rig.settle(2.0)
     assert front.stopped
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -14,38 +14,48 @@
 
 from pipitledge.decision.interface import Send, SettingsChanged
 from pipitledge.emulator.ports import free_address
-from pipitledge.node.peer_membership import BEAT_MS, OUT, SERVES, SILENT_MS, Membership, settings_among
+from pipitledge.node.peer_membership import (
+    HEARTBEAT_MS,
+    NOT_SERVING,
+    SERVING,
+    SILENCE_TIMEOUT_MS,
+    PeerMembership,
+    settings_for_members,
+)
 from pipitledge.node.peers import Peers
 
 
 @DERANDOMISED
 @given(
     steps=st.lists(
-        st.tuples(st.integers(-1, 4), st.sampled_from([SERVES, OUT, b"", b"pl9+"]), st.integers(0, 2_000)), max_size=20
+        st.tuples(st.integers(-1, 4), st.sampled_from([SERVING, NOT_SERVING, b"", b"pl9+"]), st.integers(0, 2_000)),
+        max_size=20,
     )
 )
 def test_who_is_there_follows_its_model(steps: list[tuple[int, bytes, int]]) -> None:
-    membership, now = Membership(1, 4), 1_000
+    membership, now = PeerMembership(1, 4), 1_000
     last: dict[int, tuple[bytes, int]] = {}
     for number, said, wait in steps:
         now += wait
-        valid = number in (0, 2, 3) and said in (SERVES, OUT)
-        assert membership.heard(number, said, now) == valid
+        valid = number in (0, 2, 3) and said in (SERVING, NOT_SERVING)
+        assert membership.record(number, said, now) == valid
         if valid:
             last[number] = said, now
-        there = [
+        serving = [
             number
             for number in range(4)
-            if number == 1 or number not in last or (last[number][0] == SERVES and now < last[number][1] + SILENT_MS)
+            if number == 1
+            or number not in last
+            or (last[number][0] == SERVING and now < last[number][1] + SILENCE_TIMEOUT_MS)
         ]
-        assert membership.there(now) == tuple(there)
+        assert membership.serving(now) == tuple(serving)
 
 
-@pytest.mark.parametrize("there, number", [((0, 1, 2), 2), ((1, 2), 1), ((2,), 0)])
-def test_settings_among_those_there_keep_the_cold_budget_of_all(there: tuple[int, ...], number: int) -> None:
+@pytest.mark.parametrize("serving, number", [((0, 1, 2), 2), ((1, 2), 1), ((2,), 0)])
+def test_settings_among_those_there_keep_the_cold_budget_of_all(serving: tuple[int, ...], number: int) -> None:
     rules = module_settings(instances=3, number=2, overload_factor=3.0)
-    among = settings_among(rules, there)
-    assert (among.instances, among.number) == (len(there), number)
+    among = settings_for_members(rules, serving)
+    assert (among.instances, among.number) == (len(serving), number)
     # Each takes a part of a worker as large as its arc: all three alone are no more than one whole.
     assert sum(among.overload_factor / among.instances for _ in range(3)) == pytest.approx(3.0)
 
@@ -53,7 +63,7 @@
 def test_a_node_left_alone_places_on_the_whole_fleet_at_once() -> None:
     rules = module_settings(instances=2, number=0, tells_start=True)
     half, alone = (Driver(rules, workers=8) for _ in range(2))
-    alone.tell(SettingsChanged(settings_among(rules, (0,))))
+    alone.tell(SettingsChanged(settings_for_members(rules, (0,))))
     sent = [
         len(of([action for number in range(64) for action in driver.job(f"j{number}")], Send))
         for driver in (half, alone)
@@ -76,13 +86,13 @@
                 addresses[number],
                 addresses,
                 None,
-                Membership(number, 2),
+                PeerMembership(number, 2),
             )
             for number in range(2)
         ]
         for number, peers in enumerate(self.peers):
             peers.serves = lambda number=number: self.serves[number]  # type: ignore[misc]
-            peers.changed = lambda number=number: self.change(number)  # type: ignore[misc]
+            peers.on_change = lambda number=number: self.change(number)  # type: ignore[misc]
             peers.start()
             peers.start()
         rig.settle()
@@ -102,30 +112,30 @@
 
 def test_a_node_that_is_out_says_so_at_once_and_one_that_falls_silent_is_missed(rig: Rig, pair: Pair) -> None:
     zero, one = pair.peers
-    assert zero.there == one.there == (0, 1) and rig.counters.counts["peer.heard"] == 2
+    assert zero.serving == one.serving == (0, 1) and rig.counters.counts["peer.heard"] == 2
     pair.serves[1] = False
-    one.beat()
+    one.announce()
     rig.settle()
-    assert zero.there == (0,) and one.there == (0, 1) and pair.changes == [1, 0]
+    assert zero.serving == (0,) and one.serving == (0, 1) and pair.changes == [1, 0]
     pair.serves[1] = True
-    rig.settle(BEAT_MS)
-    assert zero.there == (0, 1)
+    rig.settle(HEARTBEAT_MS)
+    assert zero.serving == (0, 1)
     one.stop()
     rig.settle()
-    for _ in range(int(SILENT_MS / BEAT_MS)):
-        rig.settle(BEAT_MS)
-    assert zero.there == (0,)
+    for _ in range(int(SILENCE_TIMEOUT_MS / HEARTBEAT_MS)):
+        rig.settle(HEARTBEAT_MS)
+    assert zero.serving == (0,)
     one.start()  # started again
     rig.settle()
-    assert zero.there == (0, 1) and pair.changes[0] == 4
+    assert zero.serving == (0, 1) and pair.changes[0] == 4
 
 
 def test_strangers_and_rubbish_change_nothing(rig: Rig, pair: Pair) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-        for said in (OUT, b"", b"x" * 60_000):
+        for said in (NOT_SERVING, b"", b"x" * 60_000):
             stranger.sendto(said, pair.peers[0].listen)
     rig.settle()
-    assert pair.peers[0].there == (0, 1) and rig.counters.counts["peer.ignored"] == 3
+    assert pair.peers[0].serving == (0, 1) and rig.counters.counts["peer.ignored"] == 3
 
 
 def test_without_its_socket_a_node_serves_as_one_that_hears_nobody(rig: Rig, pair: Pair) -> None:
@@ -137,7 +147,7 @@
         pair.peers[0].listen,  # type: ignore[arg-type]
         [],
         None,
-        Membership(0, 2),
+        PeerMembership(0, 2),
     )
     other.start()
-    assert other.sock is None and other.there == (0, 1) and rig.logged[-1][0] == "peers"
+    assert other.sock is None and other.serving == (0, 1) and rig.logged[-1][0] == "peers"
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -19,7 +19,7 @@
 
 from pipitledge.decision.interface import Listing, Refuse, Repeat, Result, Send, SettingsChanged, Tenant, Worker
 from pipitledge.node import config
-from pipitledge.node.settings_file import Broken, Numbers, check_against
+from pipitledge.node.settings_file import InvalidSettingsFile, NameIndexes, check_against
 from pipitledge.upgrade.knowledge import inherited, learned_by
 
 LANE = {"name": "menu-plan", "deadline_ms": 5000, "objective_ms": 100.0, "repeat": "free", "worth": 1.0}
@@ -88,11 +88,11 @@
     ],
 )
 def test_a_file_that_can_not_be_taken_is_kept_out_and_its_place_named(place: str, value: Any, said: str) -> None:
-    with pytest.raises(Broken) as fault:
+    with pytest.raises(InvalidSettingsFile) as fault:
         check_against(FULL, with_((place, value)))
     assert said in str(fault.value)
     for raw in (None, [], "text", 5, {}):
-        with pytest.raises(Broken):
+        with pytest.raises(InvalidSettingsFile):
             check_against(FULL, raw)
 
 
@@ -184,8 +184,8 @@
     elder.learn_slots(6.0, 8)
     heir.list(rows)
     heir.now = elder.now
-    names = Numbers({"a": 0, "b": 1}, {}, {}, {"fast": 0, "slow": 1})
-    other = Numbers({"b": 0, "c": 1}, {}, {}, {"slow": 0, "fast": 1})  # in another order, and one is new
+    names = NameIndexes({"a": 0, "b": 1}, {}, {}, {"fast": 0, "slow": 1})
+    other = NameIndexes({"b": 0, "c": 1}, {}, {}, {"slow": 0, "fast": 1})  # in another order, and one is new
     learned = json.loads(json.dumps(learned_by(elder.policy, names)))
     given = inherited(learned, other, heir.policy)
     assert given is not None
--- a/tests/test_tier_parts.py
+++ b/tests/test_tier_parts.py
@@ -21,7 +21,7 @@
 from pipitledge.emulator import site
 from pipitledge.emulator.ports import free_address, free_port
 from pipitledge.node.config import ConfigError, load
-from pipitledge.node.console import MOST_BODY, BadCall, CallSide, Verb, answer_line
+from pipitledge.node.console import MAX_BODY_BYTES, CallParser, InvalidCall, Verb, answer_line
 from pipitledge.tier import document, joint
 from pipitledge.tier import messages as m
 from pipitledge.tier.agreement import Memory
@@ -336,15 +336,20 @@
 
 
 def test_a_call_brings_a_document_in_any_pieces() -> None:
-    side = CallSide()
+    side = CallParser()
     for part in (b"POLICY PROP", b"OSE 5 -\nab", b"c"):
         assert side.receive(part) is None
     call = side.receive(b"de and more")
     assert call is not None and call.verb is Verb.POLICY
     assert call.words == ("PROPOSE", "5", "-") and call.body == b"abcde"
-    for line in (b"POLICY\n", b"POLICY PROPOSE\n", b"POLICY PROPOSE x -\n", b"POLICY PROPOSE %d -\n" % (MOST_BODY + 1)):
-        with pytest.raises(BadCall):
-            CallSide().receive(line)
+    for line in (
+        b"POLICY\n",
+        b"POLICY PROPOSE\n",
+        b"POLICY PROPOSE x -\n",
+        b"POLICY PROPOSE %d -\n" % (MAX_BODY_BYTES + 1),
+    ):
+        with pytest.raises(InvalidCall):
+            CallParser().receive(line)
     assert answer_line("two\nlines") == b"-ERR two lines\n"
 
 
