--- a/pipitledge/__main__.py
+++ b/pipitledge/__main__.py
@@ -1,4 +1,4 @@
-"""Start one real node: wire the parts together and run until SIGTERM."""
+"""Start one node: create its parts, connect them, and run until SIGTERM."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 from pipitledge.upgrade.household import Household
 from pipitledge.upgrade.succession import Succession, claim
 
-if TYPE_CHECKING:  # a node that does not print must not pay for it
+if TYPE_CHECKING:  # imported at run time only if configured, to save memory
     from pipitledge.ipp.node import PrintSide
     from pipitledge.tier.side import TierSide
 
 
 def main() -> int:
-    """Run one node."""
+    """Run one node; returns the exit status, 2 if it can't be started."""
     counters = Counters()
     log = Log(counters)
     try:
         log.write = log_writer(os.environ.get("PIPITLEDGE_LOG_FORMAT", ""))
-    except (ValueError, ImportError) as fault:  # structlog is no part of what a node needs
+    except (ValueError, ImportError) as fault:  # structlog is an optional dependency
         log("config", error=f"PIPITLEDGE_LOG_FORMAT: {fault}")
         return 2
     clock = Clock()
@@ -51,7 +51,7 @@
 
     scheduler = Scheduler(timers, crashed)
 
-    def take(number: int) -> None:
+    def on_signal(number: int) -> None:
         log("signal", name=signal.Signals(number).name)
         if number == signal.SIGUSR1:
             log("counters", open=dispatch.open, counters=counters.text())
@@ -61,35 +61,35 @@
             front.stop()
             if printing is not None:
                 printing.stop()
-                timers.at(front.duty.exit_by_ms, scheduler.stop)  # what is answered last is out by then
+                timers.at(front.duty.exit_by_ms, scheduler.stop)  # the last answers are sent by then
 
-    told: config.Config
+    current: config.Config
     printing: PrintSide | None = None
     tier: TierSide | None = None
 
     def reload() -> None:
-        """Read the configuration again, and put it in force whole; one that can't be used leaves all as it is."""
+        """Read the configuration again and apply all of it; if it can't be used, the current one is kept."""
         if tier is not None:
             tier.reload(os.environ)
             return
         try:
-            new = config.load(os.environ, told)
+            new = config.load(os.environ, current)
         except config.ConfigError as fault:
             counters.add("config.kept")
-            log("config", kept=told.name, error=fault)
-            plans.reload(told, lambda fits: None)
+            log("config", kept=current.name, error=fault)
+            plans.reload(current, lambda are_valid: None)
             return
 
-        def take(fits: bool) -> None:
-            nonlocal told
-            settings = new.settings != told.settings or new.names != told.names
-            if settings and not fits:
+        def switch(plans_are_valid: bool) -> None:
+            nonlocal current
+            settings = new.settings != current.settings or new.names != current.names
+            if settings and not plans_are_valid:
                 counters.add("config.kept")
-                log("config", kept=told.name, error="the file of attempt plans does not fit these settings")
+                log("config", kept=current.name, error="the file of attempt plans does not fit these settings")
                 return
-            old, told = told, new
+            old, current = current, new
             household.adopt(new)
-            tell_unknown(unknown(new.raw.get("settings", {})))
+            log_unknown_settings(unknown(new.raw.get("settings", {})))
             counters.add("config.reloaded")
             log(
                 "config",
@@ -100,50 +100,50 @@
                 needs_restart=",".join(config.restart_required_keys(started, new)) or "-",
             )
 
-        plans.reload(new, take)
+        plans.reload(new, switch)
 
-    # Before the configuration is read: what is caught from here on waits until the loop runs, and a file
-    # replaced meanwhile is read once more.
-    signals = Signals(scheduler, (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP), take)
+    # Installed before the configuration is read: signals caught from here on are handled once the loop runs, so that a
+    # SIGHUP sent after a change of the file during startup has the file read again.
+    signals = Signals(scheduler, (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP), on_signal)
     try:
-        started = told = config.load(os.environ)
+        started = current = config.load(os.environ)
     except config.ConfigError as fault:
         log("config", error=fault)
         return 2
-    nobody_knows: set[str] = set()
+    logged_unknown: set[str] = set()
 
-    def tell_unknown(places: list[str]) -> None:
-        """Say once of each setting that nothing here knows that it has no effect: a newer kind does no harm."""
-        if new := [place for place in places if place not in nobody_knows]:
-            nobody_knows.update(new)
+    def log_unknown_settings(paths: list[str]) -> None:
+        """Log each unknown setting once. It has no effect and is no error, as a later version may define it."""
+        if new := [path for path in paths if path not in logged_unknown]:
+            logged_unknown.update(new)
             counters.add("config.unknown", len(new))
             log("config", unknown=",".join(new))
 
-    tell_unknown(unknown(told.raw.get("settings", {})))
-    plans = PlanFile(told, scheduler, clock, counters, log)
-    if told.tier is not None:
+    log_unknown_settings(unknown(current.raw.get("settings", {})))
+    plans = PlanFile(current, scheduler, clock, counters, log)
+    if current.tier is not None:
         from pipitledge.tier import begin
 
         try:
-            store = begin.open_store(told.tier, log)
+            store = begin.open_store(current.tier, log)
         except begin.Unusable as fault:
             log("config", error=fault)
             return 2
     if not plans.start():
         return 2
-    # From here on nothing may fail: whoever ran here so far stops to take clients in.
-    succession = Succession(scheduler, clock, counters, log, told.folder, told.listen)
+    # Any failure below this line harms service: a process of this node that ran before stops accepting clients.
+    succession = Succession(scheduler, clock, counters, log, current.folder, current.listen)
     try:
-        console = Console(scheduler, clock, counters, log, told.console) if told.console is not None else None
-        claimed = claim(told.folder, told.listen, log) if told.folder else None
-        listener = claimed.listener if claimed is not None else listen_at(told.listen)
+        console = Console(scheduler, clock, counters, log, current.console) if current.console is not None else None
+        claimed = claim(current.folder, current.listen, log) if current.folder else None
+        listener = claimed.listener if claimed is not None else listen_at(current.listen)
     except (Busy, OSError) as fault:
         log("config", error=fault)
         return 2
-    policy = Policy(told.settings, told.seed)
+    policy = Policy(current.settings, current.seed)
     dispatch = Dispatch(clock, timers, policy, counters, log)
-    clients, links = budget(told.sockets)
-    pool = Pool(scheduler, clock, dispatch, counters, log, told.dial_timeout_ms, told.idle_ms, links)
+    clients, links = budget(current.sockets)
+    pool = Pool(scheduler, clock, dispatch, counters, log, current.dial_timeout_ms, current.idle_ms, links)
     group = HostGroup(
         scheduler,
         clock,
@@ -151,30 +151,39 @@
         pool,
         counters,
         log,
-        told.discovery,
-        told.names,
-        not told.settings.must_ask,
-        told.settings.drain_grace_ms,
+        current.discovery,
+        current.names,
+        not current.settings.must_ask,
+        current.settings.drain_grace_ms,
     )
     dispatch.links, dispatch.watch = pool, group.watch
     scheduler.after_round = dispatch.round
     front = Front(
-        scheduler, clock, dispatch, counters, log, told.names, told.settings, listener, clients, bodies(told.memory_mb)
+        scheduler,
+        clock,
+        dispatch,
+        counters,
+        log,
+        current.names,
+        current.settings,
+        listener,
+        clients,
+        bodies(current.memory_mb),
     )
     front.plan_of = plans.plan
     operations = Operations(dispatch, group, front, succession.ask_others)
     if console is not None:
         console.call_handler = operations.answer
-    household = Household(succession, front, group, pool, dispatch, operations, told)
+    household = Household(succession, front, group, pool, dispatch, operations, current)
     if claimed is not None:
         household.inherit(claimed)
     else:
-        group.start(told.known)
+        group.start(current.known)
     household.start()
-    if told.tier is not None:
+    if current.tier is not None:
         try:
             tier = begin.start(
-                told,
+                current,
                 scheduler,
                 clock,
                 counters,
@@ -188,40 +197,44 @@
             log("config", error=fault)
             return 2
     succession.offer()
-    if told.printers:
+    if current.printers:
         from pipitledge.ipp.node import PrintSide as Side
 
         try:
-            printing = Side(told, scheduler, clock, counters, log)
+            printing = Side(current, scheduler, clock, counters, log)
         except (config.ConfigError, OSError) as fault:
             log("config", error=fault)
             return 2
 
         prints = printing
 
-        def both() -> None:
+        def after_round() -> None:
             dispatch.round()
             prints.dispatch.round()
 
-        def ended() -> None:
+        def stop_if_both_ended() -> None:
             if front.stopped and prints.front.stopped:
                 scheduler.stop()
 
-        scheduler.after_round, front.on_stopped, prints.front.on_stopped = both, ended, ended
+        scheduler.after_round, front.on_stopped, prints.front.on_stopped = (
+            after_round,
+            stop_if_both_ended,
+            stop_if_both_ended,
+        )
         household.reserved = prints.places
         household.share_out()
 
     log(
         "ready",
-        name=told.name,
-        listen="{}:{}".format(*told.listen),
+        name=current.name,
+        listen="{}:{}".format(*current.listen),
         workers=len(group.addresses),
         clients=front.most,
         links=pool.most,
         claimed=claimed is not None,
     )
     gc.collect()
-    gc.freeze()  # what is there by now stays: later collections need not look at it
+    gc.freeze()  # the objects created so far live until exit; later collections skip them
     scheduler.run()
     succession.flush()
     del signals
--- a/pipitledge/node/__init__.py
+++ b/pipitledge/node/__init__.py
@@ -1,1 +1,1 @@
-"""The real node: clients on one side, workers and discovery on the other, the module between."""
+"""The load balancer process: serves clients, calls workers, follows discovery, and runs the decision module."""
--- a/pipitledge/node/config.py
+++ b/pipitledge/node/config.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start: BALANCER_CONFIG, or the single variables where a key is missing."""
+"""A node's configuration: the file named by BALANCER_CONFIG, and BALANCER_ variables for keys that it lacks."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text says why."""
+    """The configuration can't be used; the text is the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """Names on the sockets, by their index in the settings."""
+    """The names used in requests and worker lists, with the index of each in the settings."""
 
     classes: Mapping[bytes, int]
     tenants: Mapping[bytes, int]
     zones: Mapping[str, int]
     kinds: Mapping[str, int]
     default_zone: int = 0
-    numbers: NameIndexes = NO_INDEXES  # vanished names too
+    numbers: NameIndexes = NO_INDEXES  # also of names that earlier configurations had
 
 
 @dataclass(frozen=True, slots=True)
 class TierConfig:
-    """The block `tier`: the node's part in one policy for the whole tier."""
+    """The block `tier`: present if the nodes of the tier agree on one policy."""
 
-    name: str  # this node's, among the members
+    name: str  # of this node in `members`
     members: Mapping[str, Address]
-    listen: Address | None  # a TCP address of its own; None: datagrams, through the peers' socket
-    state: str = ""  # a folder on a disk that outlives the process; empty: there is none
-    key_file: str = ""  # messages are sealed with what it holds
-    unanimous: bool = False  # a decision takes all members, and a lease its holder alone
+    listen: Address | None  # TCP address for the tier's messages; None: datagrams through the socket of the peers
+    state: str = ""  # folder on a disk that outlives the process; empty: no state is stored
+    key_file: str = ""  # path of the file with the key that authenticates messages
+    unanimous: bool = False  # a decision needs all members instead of a majority; a lease needs its holder only
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One node's configuration."""
+    """The configuration of one node."""
 
     name: str
     listen: Address
@@ -57,24 +57,26 @@
     settings: Settings
     names: Names
     dial_timeout_ms: float
-    idle_ms: float  # a worker's machine closes an idle connection after this
-    console: Address | None = None  # the second address, for operators' calls
-    peer_listen: Address | None = None  # where the tier's nodes talk to each other, if the settings let them
-    peers: tuple[Address, ...] = ()  # by their numbers in the settings, this one's too
-    peers_all: Address | None = None
-    folder: str = ""  # where processes of this node find each other; empty: an upgrade is no matter here
-    raw: Mapping[str, Any] = field(default_factory=dict)  # the file as it stands, for the check of the next one
-    attempts: str = ""  # path of the file of attempt plans; empty: there is none
-    printers: str = ""  # path of the file of printers; empty: the node does not print
+    idle_ms: float  # time after which a worker closes an idle connection
+    console: Address | None = None  # address for operators' calls; None: no console
+    peer_listen: Address | None = None  # for datagrams between the tier's nodes; None: not permitted by the settings
+    peers: tuple[Address, ...] = ()  # by node number, including this node's
+    peers_all: Address | None = None  # one address that reaches all peers; None: a datagram is sent to each
+    folder: str = ""  # holds the Unix socket of the handover between processes at an upgrade; empty: no upgrade
+    raw: Mapping[str, Any] = field(
+        default_factory=dict
+    )  # content of the file without `known`, to check the next one against
+    attempts: str = ""  # path of the file of attempt plans; empty: no plans
+    printers: str = ""  # path of the file of printers; empty: the node does not serve print jobs
     ipp_listen: str = ""
-    ipp_store: str = ""  # path of the store of print jobs; empty: they are kept in memory
-    tier: TierConfig | None = None  # None: this node's policy is its own file's
+    ipp_store: str = ""  # path of the store of print jobs; empty: print jobs are kept in memory
+    tier: TierConfig | None = None  # None: the policy is the one in this node's configuration file
 
 
 def address(text: str) -> Address:
-    """Read host:port."""
+    """Parse host:port; the host must be an IPv4 address."""
     host, colon, port = text.rpartition(":")
-    try:  # a name would be looked up, which blocks the whole node; there is no DNS here
+    try:  # host names are refused: there is no DNS, and a look-up would block the node
         if colon and port.isdecimal() and int(port) <= 65535:
             return str(IPv4Address(host)), int(port)
     except ValueError:
@@ -92,9 +94,10 @@
 
 
 def load(environ: Mapping[str, str], in_force: Config | None = None) -> Config:
-    """Read the configuration; a ConfigError names what is wrong with it.
+    """Read the configuration; raises ConfigError with the reason if it can't be used.
 
-    One that is to follow another is checked against it, and its names get the numbers that they had there.
+    On a reload, `in_force` is the current configuration: the new one is checked against it, and names that both have
+    keep their indexes.
     """
     raw: Any = {}
     try:
@@ -108,31 +111,31 @@
         raise
     except InvalidSettingsFile as fault:
         raise ConfigError(str(fault)) from fault
-    except Exception as fault:  # a reload must outlive whatever a file may hold
+    except Exception as fault:  # no content of the file may end a node that reloads it
         raise ConfigError(f"{type(fault).__name__}: {fault}") from fault
 
 
 def with_settings(
-    told: Config, settings: Mapping[str, Any], environ: Mapping[str, str], in_force: Config, against: bool
+    base: Config, settings: Mapping[str, Any], environ: Mapping[str, str], in_force: Config, check_change: bool
 ) -> Config:
-    """The same configuration with other settings, in the numbers of the one in force.
+    """Return the configuration `base` with other settings; names keep the indexes that they have in `in_force`.
 
-    ConfigError names what is wrong with them; `against`: also where they are none that may follow those in force.
+    Raises ConfigError if the settings can't be used, or, with `check_change`, if they may not replace those in force.
     """
-    raw = {**told.raw, "settings": settings}
+    raw = {**base.raw, "settings": settings}
     try:
-        check_against(in_force.raw, raw) if against else check(raw)
-        return replace(_with_stable_indexes(_config(raw, environ), in_force), known=told.known)
+        check_against(in_force.raw, raw) if check_change else check(raw)
+        return replace(_with_stable_indexes(_config(raw, environ), in_force), known=base.known)
     except ConfigError:
         raise
     except InvalidSettingsFile as fault:
         raise ConfigError(str(fault)) from fault
-    except Exception as fault:  # whatever a document may hold
+    except Exception as fault:  # the settings come from a document that may hold anything
         raise ConfigError(f"{type(fault).__name__}: {fault}") from fault
 
 
 def restart_required_keys(old: Config, new: Config) -> list[str]:
-    """Keys that differ and that only a restart takes over."""
+    """Return the keys that differ and take effect only after a restart."""
     return [
         key
         for key in (
@@ -170,11 +173,11 @@
 
 
 def _peers(raw: Mapping[str, Any]) -> dict[str, Any]:
-    everybody = raw.get("peers_all")
+    shared = raw.get("peers_all")
     return {
         "peer_listen": address(str(raw["peer_listen"])),
         "peers": tuple(address(str(peer)) for peer in raw.get("peers") or []),
-        "peers_all": address(str(everybody)) if everybody else None,
+        "peers_all": address(str(shared)) if shared else None,
     }
 
 
@@ -188,33 +191,33 @@
         raise ConfigError(f"tier.{min(unknown)}: not known")
     members, name, needs = stated.get("members"), str(stated.get("name", "")), stated.get("changes_need", "majority")
     if not isinstance(members, Mapping) or not members:
-        raise ConfigError("tier.members: names with addresses are needed")
+        raise ConfigError("tier.members: must map names to addresses")
     if name not in members:
-        raise ConfigError(f"tier.name: {name!r} is none of tier.members")
+        raise ConfigError(f"tier.name: {name!r} is not in tier.members")
     if needs not in ("majority", "all"):
         raise ConfigError(f"tier.changes_need: {needs!r}; majority or all")
     for member in members:
         if not 0 < len(member) <= 12 or not member.isascii() or not member.isprintable() or "~" in member:
-            raise ConfigError(f"tier.members.{member}: a name has 1 to 12 plain characters, and no ~")
+            raise ConfigError(f"tier.members.{member}: a name has 1 to 12 printable ASCII characters, without ~")
     found = {str(member): address(str(where)) for member, where in members.items()}
     listen = address(str(stated["listen"])) if stated.get("listen") else None
     if listen is None:
         peers = [address(str(peer)) for peer in raw.get("peers") or []]
         if not raw.get("peer_listen") or not ((raw.get("settings") or {}).get("permissions") or {}).get("peers"):
             raise ConfigError(
-                "tier.listen: missing; without it datagrams are used, and peer_listen with "
-                "settings.permissions.peers allows none"
+                "tier.listen: missing; without it the tier uses datagrams, which need peer_listen and "
+                "settings.permissions.peers"
             )
         for member, where in found.items():
             if where not in peers:
-                raise ConfigError(f"tier.members.{member}: its address is none of peers")
+                raise ConfigError(f"tier.members.{member}: its address is not in peers")
     return TierConfig(
         name, found, listen, str(stated.get("state") or ""), str(stated.get("key_file") or ""), needs == "all"
     )
 
 
 def _config(raw: Mapping[str, Any], environ: Mapping[str, str]) -> Config:
-    def told(key: str) -> str:
+    def required(key: str) -> str:
         value = raw.get(key) or environ.get("BALANCER_" + key.upper())
         if not value:
             raise ConfigError(f"{key} is missing")
@@ -232,9 +235,9 @@
         numbers=NameIndexes(*(_names(stated.get(key)) for key in ("lanes", "realms", "zones", "shapes"))),
     )
     return Config(
-        name=told("name"),
-        listen=address(told("listen")),
-        discovery=address(told("discovery")),
+        name=required("name"),
+        listen=address(required("listen")),
+        discovery=address(required("discovery")),
         seed=int(str(raw.get("seed", "0")), 16),
         sockets=int(limits.get("sockets", 1024)),
         memory_mb=int(limits.get("memory_mb", 192)),
--- a/pipitledge/node/console.py
+++ b/pipitledge/node/console.py
@@ -1,4 +1,4 @@
-"""The second address: operators' calls, one line a connection, answered ahead of all work for clients."""
+"""The console address: operators' calls, one per connection, which run before all work for clients."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from pipitledge.node.config import Address
 from pipitledge.node.counters import Counters, Log
 
-MAX_LINE_BYTES = 256  # bytes, with its end
-MAX_BODY_BYTES = 300 * 1024  # bytes after the line of a call that brings a document
-LINE_TIMEOUT_MS, WRITE_TIMEOUT_MS = 2_000.0, 1_000.0  # from accepting to the whole line; for the answer
-MAX_CONNECTIONS = 8  # calls at one time; their descriptors are set aside at the start, so that no client can take them
-ACCEPT_RETRY_MS = 20.0  # without a descriptor to spare
+MAX_LINE_BYTES = 256  # with the line feed
+MAX_BODY_BYTES = 300 * 1024  # of the document that follows the line of POLICY PROPOSE
+LINE_TIMEOUT_MS, WRITE_TIMEOUT_MS = 2_000.0, 1_000.0  # from accept to the complete call; for writing the answer
+MAX_CONNECTIONS = 8  # at one time; their descriptors are reserved, so that clients can't use them up
+ACCEPT_RETRY_MS = 20.0  # wait before the next accept after the process ran out of descriptors
 
 
 class Verb(Enum):
-    """What can be called."""
+    """The first word of a call."""
 
     PING = b"PING"
     DETACH = b"DETACH"
@@ -39,24 +39,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call that can be read."""
+    """One valid call."""
 
     verb: Verb
     worker: str = ""
-    words: tuple[str, ...] = ()  # after POLICY
-    body: bytes = b""  # of POLICY PROPOSE
+    words: tuple[str, ...] = ()  # those after POLICY
+    body: bytes = b""  # the document of POLICY PROPOSE
 
 
 class Success(str):
-    """An answer that is yes, and has more to say."""
+    """A positive answer with content, such as JSON."""
 
 
 class InvalidCall(Exception):
-    """A line that is no call; the text says why, to the caller too."""
+    """The input is not a valid call; the text is the reason that is sent to the caller."""
 
 
 def read_call(line: bytes) -> Call:
-    """Read one line without its end. Names are as told: a call in small letters is none."""
+    """Parse one line without its line feed. Verbs are case-sensitive: `ping` is not valid."""
     words = line.split()
     try:
         verb = Verb(words[0])
@@ -74,17 +74,17 @@
 
 
 class CallParser:
-    """The states of one connection: fed bytes, it gives one call; BadCall where there will never be one."""
+    """Parses the bytes of one connection into one call; raises InvalidCall if they can't become a valid one."""
 
     def __init__(self) -> None:
-        """Wait for the first byte."""
+        """Start without any bytes."""
         self.line = bytearray()
         self.finished = False
-        self._call: Call | None = None  # one whose body is still coming
+        self._call: Call | None = None  # a call with a body that is not complete yet
         self._size = 0
 
     def receive(self, data: bytes) -> Call | None:
-        """Take what has come. What follows the first line is not looked at."""
+        """Add received bytes; returns the call once it is complete. Bytes after the call are ignored."""
         if self.finished:
             return None
         self.line += data
@@ -112,37 +112,38 @@
         return call
 
     def _call_if_complete(self) -> Call | None:
-        """The call, once its body is whole. What follows that is not looked at."""
+        """Return the call if its body is complete. Bytes after the body are ignored."""
         if self._call is None or len(self.line) < self._size:
             return None
         self.finished = True
         return replace(self._call, body=bytes(self.line[: self._size]))
 
     def end(self) -> None:
-        """Take note that the caller sends no more: half a call is none."""
+        """Handle the end of input; raises InvalidCall if the call is not complete."""
         if not self.finished:
             self.finished = True
             raise InvalidCall("half a call")
 
 
-def answer_line(no: str | None) -> bytes:
-    """Give the answer to a call: yes, or no with its reason."""
-    if isinstance(no, Success):
-        return b"+OK " + no.encode() + b"\n"
-    return b"+OK\n" if no is None else b"-ERR " + no.encode("ascii", "replace").replace(b"\n", b" ") + b"\n"
+def answer_line(answer: str | None) -> bytes:
+    """Encode the answer to a call: +OK, or -ERR with the reason."""
+    if isinstance(answer, Success):
+        return b"+OK " + answer.encode() + b"\n"
+    return b"+OK\n" if answer is None else b"-ERR " + answer.encode("ascii", "replace").replace(b"\n", b" ") + b"\n"
 
 
-# None or Yes: it is done; else why not. It may wait, in the caller's task.
+# Carries out a call; returns None or Success if it is done, else the reason of failure. Runs in the task of the
+# connection, and may wait there.
 CallHandler = Callable[[Call], str | None]
 
 
 def not_ready(call: Call) -> str | None:
-    """Answer for a node that does not serve yet."""
+    """Answer calls while the node is starting and can't carry them out."""
     return "not ready yet"
 
 
 class Console:
-    """Listens at the second address; each caller has a task that runs before those of clients."""
+    """Listens at the console address; each connection has a task that runs before those of clients."""
 
     def __init__(
         self,
@@ -156,7 +157,7 @@
         """Open the listening socket."""
         self.scheduler, self.clock, self.counters, self.log = scheduler, clock, counters, log
         self.call_handler = call_handler
-        self.connections: dict[ConsoleConnection, None] = {}  # longest here first
+        self.connections: dict[ConsoleConnection, None] = {}  # oldest first
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind(listen)
@@ -172,11 +173,11 @@
             )
             try:
                 short = not self._accept_all()
-            except Exception as fault:  # whatever one caller does, the next is heard
+            except Exception as fault:  # a failure with one connection must not stop the accepting of others
                 self.scheduler.crashed(fault)
 
     def _accept_all(self) -> bool:
-        """Accept one caller for each place; False where no descriptor or no place is to be had just now."""
+        """Accept connections up to the limit; False if no descriptor is free or no connection can be evicted."""
         return accept_some(
             self.listener,
             MAX_CONNECTIONS,
@@ -189,39 +190,39 @@
         self.connections[ConsoleConnection(self, sock)] = None
 
     def _evict_waiting(self) -> bool:
-        """Close the caller who has been longest without a whole line; one that waits for its answer stays."""
-        for caller in self.connections:
-            if not caller.called:
-                del self.connections[caller]
-                caller.evict()
+        """Close the oldest connection that has not sent a complete call; False if all wait for their answers."""
+        for connection in self.connections:
+            if not connection.has_call:
+                del self.connections[connection]
+                connection.evict()
                 return True
         return False
 
 
 class ConsoleConnection:
-    """One call: read a line, have it answered, close."""
+    """One connection: reads a call, has it carried out, answers it, and closes."""
 
     def __init__(self, console: Console, sock: socket.socket) -> None:
-        """Take over an accepted socket."""
-        self.console, self.called, self.is_evicted = console, False, False
+        """Start the task that serves an accepted socket."""
+        self.console, self.has_call, self.is_evicted = console, False, False
         self.stream = Stream(console.scheduler, sock, ReceiveBuffer(MAX_LINE_BYTES, MAX_LINE_BYTES))
         self.until = console.clock.now() + LINE_TIMEOUT_MS
         self.task = console.scheduler.spawn(self.run, urgent=True)
 
     def evict(self) -> None:
-        """Close soon: the place is another caller's."""
+        """Wake the task to close the connection, as its place is needed for a new one."""
         self.is_evicted = True
         self.task.wake()
 
     def run(self) -> None:
-        """Answer the call, whatever it is; every way out closes the connection."""
-        console, what, no = self.console, "bad", "internal error"
+        """Read and answer the call; the connection is closed in any case."""
+        console, what, failure = self.console, "bad", "internal error"
         try:
             call = self._call()
             if call is None:
                 what = "dropped"
                 return
-            self.called, what = True, call.verb.value.decode().lower()
+            self.has_call, what = True, call.verb.value.decode().lower()
             answer = console.call_handler(call)
             console.log(
                 "console",
@@ -236,7 +237,7 @@
         except OSError:
             what = "dropped"
         except Exception:
-            self._write(answer_line(no))
+            self._write(answer_line(failure))
             raise
         finally:
             console.counters.add(f"console.{what}")
@@ -244,8 +245,8 @@
             self.stream.close()
 
     def _call(self) -> Call | None:
-        """Read the call; None where the caller left without a byte of one, or has to give way."""
-        side, stream = CallParser(), self.stream
+        """Read the call; None if the caller closed without sending anything, or the connection was evicted."""
+        parser, stream = CallParser(), self.stream
         while True:
             if self.is_evicted:
                 return None
@@ -254,11 +255,11 @@
                 raise InvalidCall("too slow")
             if why is Wake.READY and (size := stream.read()) >= 0:
                 if not size:
-                    if not side.line:
+                    if not parser.line:
                         return None
-                    side.end()
-                with memoryview(stream.buffer.data)[stream.buffer.start : stream.buffer.end] as came:
-                    call = side.receive(bytes(came))
+                    parser.end()
+                with memoryview(stream.buffer.data)[stream.buffer.start : stream.buffer.end] as received:
+                    call = parser.receive(bytes(received))
                 stream.buffer.consume(len(stream.buffer))
                 if call is not None:
                     return call
--- a/pipitledge/node/counters.py
+++ b/pipitledge/node/counters.py
@@ -1,4 +1,4 @@
-"""What the node took in, sent and answered: printed on SIGUSR1 and at exit. And its log lines."""
+"""Event counters, which are printed on SIGUSR1 and at exit, and the log of the node."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     """Counts by name, such as `query.taken` or `execution.served`."""
 
     def __init__(self) -> None:
-        """Start at nothing."""
+        """Start without any counts."""
         self.counts: Counter[str] = Counter()
 
     def add(self, name: str, by: int = 1) -> None:
-        """Count something."""
+        """Increase a count, which starts at 0."""
         self.counts[name] += by
 
     def text(self) -> str:
@@ -29,16 +29,17 @@
 
 
 def write_plain(now: float, event: str, fields: Mapping[str, object]) -> None:
-    """Write time, event and key=value."""
+    """Write one line to standard output: UTC time, event, and key=value pairs."""
     stamp = time.strftime("%H:%M:%S", time.gmtime(now)) + f".{int(now * 1000) % 1000:03d}"
     words = [f"{name}={str(value).replace(chr(10), ' | ')}" for name, value in fields.items()]
     print(stamp, event, *words, file=sys.stdout, flush=True)
 
 
 def log_writer(form: str) -> LogWriter:
-    """The writer for a log format: empty or `plain`, or `json`, which is structlog's and imported only then.
+    """Return the writer for a log format: `plain` (also if empty), or `json`, which is written by structlog.
 
-    structlog takes 13 MB resident, of 32 that a node may have; that is why the plain lines are written here.
+    structlog takes 13 MB of resident memory, of the 32 MB that a node may use. It is therefore imported only for
+    `json`, and the plain format is written without it.
     """
     if form in ("", "plain"):
         return write_plain
@@ -60,17 +61,17 @@
 
 
 class Log:
-    """Lines on standard output, so many a second of each kind of event."""
+    """Writes log lines, at most PER_SECOND in a second for each event name."""
 
     PER_SECOND = 20
 
     def __init__(self, counters: Counters, write: LogWriter = write_plain) -> None:
-        """Count what is left out, so that a flood is seen without being written."""
+        """Set the writer; lines above the limit are counted in `counters` and not written."""
         self.counters, self.write = counters, write
         self._second, self._lines = 0, Counter[str]()
 
     def __call__(self, event: str, **fields: object) -> None:
-        """Write one line."""
+        """Write one line, unless the event has reached its limit for this second."""
         now = time.time()
         if int(now) != self._second:
             self._second = int(now)
@@ -81,5 +82,5 @@
             return
         try:
             self.write(now, event, fields)
-        except OSError:  # a full or closed log must not stop the node
+        except OSError:  # a full disk or a closed pipe must not stop the node
             self.counters.add("log.failed")
--- a/pipitledge/node/lifecycle.py
+++ b/pipitledge/node/lifecycle.py
@@ -1,27 +1,30 @@
-"""Whether the node serves, sends clients away or stops: one machine for LAMEDUCK, REJOIN and SIGTERM, without I/O."""
+"""State machine of a node that serves, drains or stops, driven by LAMEDUCK, REJOIN and SIGTERM. Does no I/O."""
 
 from __future__ import annotations
 
 import math
 from enum import Enum
 
-# LAMEDUCK: 4 s after it no connection may be idle or hold a job of the last 2 s. A tier may have one node only:
-# who is closed early is served by nobody, so connections are used for as long as that allows.
+# The protocol requires that 4 s after LAMEDUCK no connection is idle or carries a job that arrived in the last 2 s.
+# In a tier with a single node, a client whose connection is closed early has no other node to go to, so connections
+# stay in use for as long as this limit allows. Both times count from LAMEDUCK: when shedding starts, and the end.
 SHED_DELAY_MS, DRAIN_MS = 1_600.0, 3_600.0
-# SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as 3 s at most, plus 0.7 s. Until
-# LAST_MS before that we serve as ever, and SPARE_MS before it every query taken since SIGTERM has its answer.
+# After SIGTERM, SIGKILL follows no sooner than the longest deadline (capped at KILL_DEADLINE_CAP_MS) plus
+# KILL_MARGIN_MS. The node serves normally until CLOSING_MS before that time, and every query accepted since SIGTERM
+# is answered ANSWER_MARGIN_MS before it.
 KILL_DEADLINE_CAP_MS, KILL_MARGIN_MS, CLOSING_MS, ANSWER_MARGIN_MS = 3_000.0, 700.0, 900.0, 200.0
-MIN_STOPPING_MS = 500.0  # at the least: connections still come for 0.2 to 0.4 s
+MIN_STOPPING_MS = 500.0  # minimum: new connections still arrive for 0.2 to 0.4 s after SIGTERM
 
 
 class Stage(Enum):
-    """How far the node is on duty."""
+    """Stages of the life cycle; the values are written to the log."""
 
     SERVING = "serving"
-    DRAINING = "draining"  # not ready, serves as ever
-    SHEDDING = "shedding"  # not ready; idle connections close, busy ones after their answer; who comes is served
-    STOPPING = "stopping"  # after SIGTERM: not ready, serves as ever
-    CLOSING = "closing"  # takes nobody in, and ends once nothing is held
+    DRAINING = "draining"  # reports not ready, but serves normally
+    # Reports not ready; closes idle connections at once and busy ones after their answer; serves new connections.
+    SHEDDING = "shedding"
+    STOPPING = "stopping"  # after SIGTERM: reports not ready, but serves normally
+    CLOSING = "closing"  # accepts no connections, and the process exits when no query is open
 
 
 DRAIN_STAGES = frozenset({Stage.DRAINING, Stage.SHEDDING})
@@ -29,42 +32,43 @@
 
 
 class NodeLifecycle:
-    """Told of calls and of time, it says which stage holds. Any order and any repeat of calls is harmless."""
+    """Derives the current stage from calls and from time. Calls may come in any order and may be repeated."""
 
     def __init__(self) -> None:
-        """Begin to serve."""
+        """Start in the stage SERVING."""
         self.stage = Stage.SERVING
-        self.next_stage_ms = math.inf  # when the next stage comes by itself
-        self.end_by_ms = math.inf  # what is taken from now on has its answer by then; of a node that stops, all it has
-        self.exit_by_ms = math.inf  # a node that stops has ended by then, whoever does not take its answer
+        self.next_stage_ms = math.inf  # when `tick` moves to the next stage; infinite: it does not
+        # Queries accepted from now on are answered by this time; once the node stops, this holds for all open queries.
+        self.end_by_ms = math.inf
+        self.exit_by_ms = math.inf  # a node that stops exits by this time, even if clients have not read their answers
         self.draining_since_ms: float | None = None
-        self.is_handed_over = False  # another process takes clients in our place; calls and time go on to count
-        self._was_draining = False  # before it was told to stop: its time to shed goes on
+        self.is_handed_over = False  # another process accepts clients; the stages go on here
+        self._was_draining = False  # the node was draining when it was ordered to stop: it goes on shedding
 
     @property
     def is_ready(self) -> bool:
-        """Whether clients should be sent here."""
+        """Whether the readiness check tells clients to use this node."""
         return self.stage is Stage.SERVING
 
     @property
     def is_shedding(self) -> bool:
-        """Whether connections end as soon as nothing is under way on them."""
+        """Whether a connection is closed as soon as it has no open query."""
         return self.stage in (Stage.SHEDDING, Stage.CLOSING) or self._was_draining
 
     @property
     def is_closing(self) -> bool:
-        """Whether nobody is taken in any more."""
+        """Whether new connections are no longer accepted."""
         return self.stage is Stage.CLOSING
 
     def lame_duck(self, now_ms: float) -> bool:
-        """Send clients away; True if that is news. A node that stops does so already."""
+        """Start to drain; True if the node was serving. Has no effect on a node that drains or stops already."""
         if self.stage is not Stage.SERVING:
             return False
         self.stage, self.next_stage_ms, self.draining_since_ms = Stage.DRAINING, now_ms + SHED_DELAY_MS, now_ms
         return True
 
     def rejoin(self) -> bool:
-        """End the drain; False if the node stops, from which there is no way back."""
+        """End the drain and serve again; False if the node is stopping, which can't be reverted."""
         if self.stage in STOP_STAGES:
             return False
         self.stage, self.next_stage_ms, self.end_by_ms = Stage.SERVING, math.inf, math.inf
@@ -72,7 +76,7 @@
         return True
 
     def stop(self, now_ms: float, longest_ms: float) -> bool:
-        """SIGTERM: serve while there is time, then answer all that is held and close; True if that is news."""
+        """Handle SIGTERM: serve while time allows, answer the open queries, and close; False if already stopping."""
         if self.stage in STOP_STAGES:
             return False
         self._was_draining = self.stage in DRAIN_STAGES
@@ -83,17 +87,17 @@
         return True
 
     def hand_over(self, now_ms: float) -> None:
-        """Another process takes clients in from now on; a node that stops has nothing more to wait for."""
+        """Record that another process accepts clients from now on; a node that is stopping then closes at once."""
         self.is_handed_over = True
         if self.stage is Stage.STOPPING:
             self.next_stage_ms = now_ms
 
     def take_back(self) -> None:
-        """That process is gone: clients are ours again, unless the end has come."""
+        """Record that the other process has ended: this one accepts clients again, unless it is closing."""
         self.is_handed_over = False
 
     def tick(self, now_ms: float) -> bool:
-        """Let time pass; True if another stage holds now."""
+        """Move to the next stage if its time has come; True if the stage changed."""
         if now_ms < self.next_stage_ms:
             return False
         if self.stage is Stage.DRAINING:
--- a/pipitledge/node/peer_membership.py
+++ b/pipitledge/node/peer_membership.py
@@ -1,4 +1,4 @@
-"""Which nodes of the tier serve now, by what they say of themselves. No I/O."""
+"""Which nodes of the tier serve now, according to their own heartbeats. Does no I/O."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 from pipitledge.decision.interface import Settings
 
-HEARTBEAT_MS, SILENCE_TIMEOUT_MS = 400.0, 1_600.0  # some of the messages are lost: four in a row are none by chance
+HEARTBEAT_MS, SILENCE_TIMEOUT_MS = 400.0, 1_600.0  # datagrams may be lost; four lost in a row count as a failure
 SERVING, NOT_SERVING = b"pl1+", b"pl1-"
 
 
 class PeerMembership:
-    """Told what peers say and what time it is, it knows the numbers of those that serve."""
+    """Records heartbeats of peers, and derives from them and the time which node numbers serve."""
 
     def __init__(self, number: int, instances: int) -> None:
-        """Count everybody as there; who has never been heard may be unable to say so."""
+        """Count every node as serving; one that has never sent a heartbeat may be unable to send datagrams."""
         self.number, self.instances = number, instances
-        self._last_heard_ms = [math.inf] * instances  # never: it can't be silent
+        self._last_heard_ms = [math.inf] * instances  # infinite: no heartbeat so far, so no timeout
         self._serves = [True] * instances
 
     def record(self, number: int, said: bytes, now_ms: float) -> bool:
-        """Take a peer's word on itself; False where it is none."""
+        """Record the heartbeat of a peer; False if the sender or the content is not valid."""
         if number == self.number or not 0 <= number < self.instances or said not in (SERVING, NOT_SERVING):
             return False
         self._last_heard_ms[number], self._serves[number] = now_ms, said == SERVING
         return True
 
     def serving(self, now_ms: float) -> tuple[int, ...]:
-        """The numbers of those that serve; our own is always one."""
+        """The numbers of the nodes that serve, always including this node's."""
         return tuple(
             number
             for number in range(self.instances)
@@ -38,7 +38,11 @@
 
 
 def settings_for_members(settings: Settings, serving: tuple[int, ...]) -> Settings:
-    """The settings of one of those that serve. The cold budget stays what it was: all may believe to be alone."""
+    """The settings of this node, with `instances` and `number` counted among the nodes that serve.
+
+    The overload factor shrinks in proportion, so that this node's share of the cold budget stays the configured one:
+    several nodes may each believe to be the only one that serves, and together must stay within the budget.
+    """
     if len(serving) == settings.instances or settings.number not in serving:
         return settings
     return replace(
--- a/pipitledge/node/peers.py
+++ b/pipitledge/node/peers.py
@@ -1,4 +1,4 @@
-"""The driver of the membership: datagrams to and from the other nodes of the tier."""
+"""Sends and receives the heartbeat datagrams of the tier's nodes."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from pipitledge.node.counters import Counters, Log
 from pipitledge.node.peer_membership import HEARTBEAT_MS, NOT_SERVING, SERVING, PeerMembership
 
-MAX_DATAGRAMS_PER_READ, MAX_DATAGRAM_BYTES = 64, 256  # datagrams read in a round; bytes of one
+MAX_DATAGRAMS_PER_READ, MAX_DATAGRAM_BYTES = 64, 256  # at one wake-up; the longest that is read
 
 
 class Peers:
-    """Says whether this node serves, hears the others, and tells when the number of those that serve changes."""
+    """Announces whether this node serves, receives the other nodes' heartbeats, and reports changes of who serves."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         shared_target: Address | None,
         membership: PeerMembership,
     ) -> None:
-        """Know the addresses; `start` opens the socket."""
+        """Set the addresses; `start` opens the socket. With a shared target, one datagram to it reaches all peers."""
         self.scheduler, self.clock, self.counters, self.log = scheduler, clock, counters, log
         self.listen, self.membership = listen, membership
         self.numbers = {address: number for number, address in enumerate(peers)}
@@ -41,14 +41,13 @@
         self.serving = membership.serving(clock.now())
         self.serves: Callable[[], bool] = lambda: True
         self.on_change: Callable[[], None] = lambda: None
-        self.on_other_datagram: Callable[[bytes, Address], bool] = lambda datagram, sender: (
-            False
-        )  # takes what is no word on serving
+        # Handles datagrams of peers that are no heartbeats; returns False for one that it does not know.
+        self.on_other_datagram: Callable[[bytes, Address], bool] = lambda datagram, sender: False
         self.sock: socket.socket | None = None
         self._task: Task | None = None
 
     def start(self) -> None:
-        """Begin to talk, or go on; without the socket the node serves as one that hears nobody."""
+        """Open the socket and start the task, unless started; if that fails, the node serves without heartbeats."""
         if self.sock is not None:
             return
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -63,7 +62,7 @@
         self._task = self.scheduler.spawn(lambda: self._run(sock), urgent=True)
 
     def stop(self) -> None:
-        """Say and hear no more: another process of this node does, at the same address."""
+        """Close the socket: another process of this node takes over its address."""
         sock, self.sock = self.sock, None
         if sock is not None and self._task is not None:
             self.scheduler.forget(sock.fileno())
@@ -71,7 +70,7 @@
             self._task.wake()
 
     def announce(self) -> None:
-        """Say at once what is to be said at the next beat: the node's duty has changed."""
+        """Send the next heartbeat now, as the node's life cycle stage has changed."""
         if self._task is not None:
             self._task.wake()
 
@@ -96,7 +95,7 @@
         for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
                 datagram, sender = sock.recvfrom(MAX_DATAGRAM_BYTES)
-            except OSError:  # nothing more, or a peer's port was closed
+            except OSError:  # no more datagrams, or a peer's port is closed
                 return
             if sender in self.numbers and self.on_other_datagram(datagram, sender):
                 continue
@@ -104,16 +103,16 @@
             self.counters.add("peer.heard" if known else "peer.ignored")
 
     def send(self, datagram: bytes, target: Address) -> bool:
-        """Send a datagram of another's to a peer; False where there is no socket."""
+        """Send a datagram of another component to a peer; False if the socket is not open."""
         if self.sock is None:
             return False
-        with contextlib.suppress(OSError):  # lost, as others are
+        with contextlib.suppress(OSError):  # datagrams may be lost in any case
             self.sock.sendto(datagram, target)
         return True
 
     def _announce(self, sock: socket.socket) -> None:
-        word = SERVING if self.serves() else NOT_SERVING
+        heartbeat = SERVING if self.serves() else NOT_SERVING
         for target in self.targets:
-            with contextlib.suppress(OSError):  # lost, as others are
-                sock.sendto(word, target)
+            with contextlib.suppress(OSError):  # the next heartbeat replaces a lost one
+                sock.sendto(heartbeat, target)
                 self.counters.add("peer.said")
--- a/pipitledge/node/plan_file.py
+++ b/pipitledge/node/plan_file.py
@@ -1,4 +1,4 @@
-"""The file of attempt plans as a running node uses it: read at the start, read again on SIGHUP, whole or not at all."""
+"""The file of attempt plans: read at startup and again on SIGHUP, and applied only if all of it is valid."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class PlanFile:
-    """The plans in force. Queries under way keep the plan that they began with: it travels with them."""
+    """Holds the current plans. An open query keeps the plan it started with, which is stored in the query."""
 
     def __init__(self, config: Config, scheduler: Scheduler, clock: Clock, counters: Counters, log: Log) -> None:
-        """Know the file's path; an empty one means that there is none, and every plan allows all."""
+        """Set the path of the file; if it is empty, there is no file and every plan is unlimited."""
         self.path, self.scheduler, self.clock = config.attempts, scheduler, clock
         self.counters, self.log = counters, log
         self.loader = self._loader_for(config)
@@ -32,18 +32,18 @@
         return Loader(config.settings, dict(config.names.numbers.classes))
 
     def plan(self, job_class: int, target: bytes) -> Plan:
-        """The plan for a request of this class with this target."""
+        """Return the plan for a request of this class with this request target."""
         return self.plans.plan(job_class, target.decode("latin-1")) if self.plans.classes else UNLIMITED
 
     def start(self) -> bool:
-        """Read the file before the node serves; False if it can't be used: a node without its plans is none."""
+        """Read the file before the node serves; False if it can't be used, and the node must not start."""
         return not self.path or self._apply(finish(self._load(self.loader)), self.loader)
 
     def reload(self, config: Config, then: Callable[[bool], None]) -> None:
-        """Read the file again beside what is served, in slices, against these settings.
+        """Read the file again and check it against these settings, in slices between which the node serves.
 
-        `then` is told whether the plans fit, in the same moment in which they come into force. What was asked for
-        meanwhile and has not begun is overtaken by the newest.
+        `then` is called with whether the plans are valid, in the same scheduler step in which they are applied. If
+        several reloads are requested while one runs, only the last of them is carried out after it.
         """
         if not self.path:
             then(True)
@@ -82,7 +82,7 @@
         return (yield from loader.load(self.path, data))
 
     def _apply(self, loaded: Loaded, loader: Loader) -> bool:
-        """Put plans in force, or keep those there are; what the file says wrong goes to the log, line by line."""
+        """Apply the plans, or keep the current ones if the file has errors; each error and warning is logged."""
         for mistake in loaded.mistakes:
             what = "plans-mistake" if mistake.severity is Severity.ERROR else "plans-warning"
             self.log(what, at=str(mistake.place), why=mistake.text)
@@ -107,5 +107,5 @@
 
 
 def unlimited(job_class: int, target: bytes) -> Plan:
-    """The plan of a node without a file."""
+    """Return the plan of a node that has no file of plans."""
     return UNLIMITED
--- a/pipitledge/node/settings_file.py
+++ b/pipitledge/node/settings_file.py
@@ -1,4 +1,4 @@
-"""What makes a configuration file one that a running node can take, and how its settings keep their numbers. No I/O."""
+"""Checks whether a running node can load a configuration file, and keeps the indexes of names stable. No I/O."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 
 class InvalidSettingsFile(ValueError):
-    """A file that can't be used; the text names the place and says why."""
+    """The file can't be used; the text names the key and the reason."""
 
 
 def check(raw: object) -> None:
-    """Check what any file must keep to, the first one too: no number that isn't one, deadlines and attempts above 0."""
+    """Check the rules for every file: finite numbers, at least one class, positive deadlines, attempts and limits."""
     if not isinstance(raw, Mapping):
-        raise InvalidSettingsFile("the file holds no object")
+        raise InvalidSettingsFile("the file is not an object")
     _check_finite(raw, "")
     stated = raw.get("settings")
     if not isinstance(stated, Mapping):
-        raise InvalidSettingsFile("settings: no object")
+        raise InvalidSettingsFile("settings: not an object")
     lanes = stated.get("lanes")
-    if not isinstance(lanes, list) or not lanes:  # without its classes a node can take nothing
+    if not isinstance(lanes, list) or not lanes:  # a node without classes can't serve any request
         raise InvalidSettingsFile(
-            "settings.lanes: " + ("missing" if lanes is None else "no class" if lanes == [] else "no list")
+            "settings.lanes: " + ("missing" if lanes is None else "no class" if lanes == [] else "not a list")
         )
     for index, lane in enumerate(lanes):
         if not isinstance(lane, Mapping):
-            raise InvalidSettingsFile(f"settings.lanes[{index}]: no object")
+            raise InvalidSettingsFile(f"settings.lanes[{index}]: not an object")
         if not lane.get("name"):
             raise InvalidSettingsFile(f"settings.lanes[{index}].name: missing")
         if "deadline_ms" in lane:
@@ -42,12 +42,12 @@
 
 
 def check_against(old: Mapping[str, Any], new: object) -> None:
-    """Check a file against the one in force: it lacks no key and holds no value of another kind."""
+    """Check a file against the current one: it has the same keys, and each value is of the same type."""
     check(new)
     assert isinstance(new, Mapping)
     for key, value in old.items():
         if key == "known":
-            continue  # the list is discovery's; at a reload it is not read
+            continue  # the initial list of workers: not read at a reload, as discovery provides the list by then
         if key not in new:
             raise InvalidSettingsFile(f"{key}: missing")
         _check_same_shape(value, new[key], key)
@@ -57,25 +57,30 @@
         raise InvalidSettingsFile("settings.lanes: no class")
     if len({*names}) < len(names):
         raise InvalidSettingsFile("settings.lanes: a class is named twice")
-    was = len(old["settings"].get("lanes") or [])
+    old_count = len(old["settings"].get("lanes") or [])
     for key, value in (new["settings"].get("specifics") or {}).items():
         known = (old["settings"].get("specifics") or {}).get(key)
-        if key.startswith("class_") and isinstance(known, list) and len(known) == was and len(value) != len(lanes):
+        if (
+            key.startswith("class_")
+            and isinstance(known, list)
+            and len(known) == old_count
+            and len(value) != len(lanes)
+        ):
             raise InvalidSettingsFile(f"settings.specifics.{key}: {len(value)} values for {len(lanes)} classes")
 
 
 def _check_same_shape(old: Any, new: Any, place: str) -> None:
-    """Compare kinds all the way down; entries of a list have what all of the list in force have."""
+    """Compare types recursively; each entry of a list must have the keys that all entries of the current list have."""
     if isinstance(old, Mapping):
         if not isinstance(new, Mapping):
-            raise InvalidSettingsFile(f"{place}: no object")
+            raise InvalidSettingsFile(f"{place}: not an object")
         for key, value in old.items():
             if key not in new:
                 raise InvalidSettingsFile(f"{place}.{key}: missing")
             _check_same_shape(value, new[key], f"{place}.{key}")
     elif isinstance(old, list):
         if not isinstance(new, list):
-            raise InvalidSettingsFile(f"{place}: no list")
+            raise InvalidSettingsFile(f"{place}: not a list")
         entries = [entry for entry in old if isinstance(entry, Mapping)]
         if entries and len(entries) == len(old):
             common = {key: entries[0][key] for key in entries[0] if all(key in entry for entry in entries)}
@@ -96,7 +101,7 @@
 
 def _check_finite(value: Any, place: str) -> None:
     if isinstance(value, float) and not math.isfinite(value):
-        raise InvalidSettingsFile(f"{place}: {value} is no number")
+        raise InvalidSettingsFile(f"{place}: {value} is not a finite number")
     parts = value.items() if isinstance(value, Mapping) else enumerate(value) if isinstance(value, list) else ()
     for key, part in parts:
         _check_finite(part, (f"{place}.{key}" if place else str(key)) if isinstance(key, str) else f"{place}[{key}]")
@@ -105,15 +110,15 @@
 def _check_positive(value: Any, place: str, whole: bool = False) -> None:
     number = isinstance(value, int | float) and not isinstance(value, bool)
     if not number or not value > 0 or (whole and value != int(value)):
-        raise InvalidSettingsFile(f"{place}: {str(value)[:40]!r} is no positive {'whole ' if whole else ''}number")
+        raise InvalidSettingsFile(f"{place}: {str(value)[:40]!r} is not a positive {'whole ' if whole else ''}number")
 
 
-# ---- numbers that keep their meaning
+# ---- stable indexes of names
 
 
 @dataclass(frozen=True, slots=True)
 class NameIndexes:
-    """All names there have been since the start, by their number in the module."""
+    """All names since the start of the process, including removed ones, with the index of each in the module."""
 
     classes: Mapping[str, int]
     tenants: Mapping[str, int]
@@ -123,7 +128,7 @@
     def with_names(
         self, classes: Sequence[str], tenants: Sequence[str], zones: Sequence[str], kinds: Sequence[str]
     ) -> NameIndexes:
-        """Add names that are new."""
+        """Return these indexes with new names added at the end."""
         return NameIndexes(
             _extended(self.classes, classes),
             _extended(self.tenants, tenants),
@@ -143,7 +148,7 @@
 
 
 def renumbered(settings: Settings, stated: NameIndexes, numbers: NameIndexes, old: Settings) -> Settings:
-    """Settings with the file's numbers, in those that hold; what has vanished keeps its old place and values."""
+    """Convert settings from the file's indexes to the stable ones; removed classes keep their index and values."""
     kinds = {index: numbers.kinds[name] for name, index in stated.kinds.items()}
     classes: list[JobClass] = [*old.classes, *settings.classes][: len(numbers.classes)]
     for name, index in stated.classes.items():
@@ -151,10 +156,10 @@
         classes[numbers.classes[name]] = replace(job_class, kind=kinds.get(job_class.kind, job_class.kind))
     tenants = settings.tenants
     if numbers.tenants:
-        placed = [Tenant(0.0, 0.0)] * len(numbers.tenants)  # one that has vanished has no share any more
+        reordered = [Tenant(0.0, 0.0)] * len(numbers.tenants)  # a removed tenant has no share
         for name, index in stated.tenants.items():
-            placed[numbers.tenants[name]] = settings.tenants[index]
-        tenants = tuple(placed)
+            reordered[numbers.tenants[name]] = settings.tenants[index]
+        tenants = tuple(reordered)
     zones = {index: numbers.zones[name] for name, index in stated.zones.items()}
     return replace(
         settings,
--- a/pipitledge/node/signals.py
+++ b/pipitledge/node/signals.py
@@ -1,4 +1,4 @@
-"""Signals as something the scheduler can wait for."""
+"""Delivers signals to a task of the scheduler."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
 
 
 class Signals:
-    """Turns signals into calls of `take`, in a task of their own.
+    """Calls `handle` with the number of each signal, in a task of its own.
 
-    A handler alone would run, and the poll would go back to waiting: the interpreter therefore writes each
-    signal's number to a pipe. Both ends have to be kept here. When the writing end was a mere local it was
-    collected, the other end stood at its end for good, and the node spun on it and was deaf to SIGTERM.
-    A pipe and not a socket pair: the latter is a Unix socket, which a node's process may be refused.
+    After a plain signal handler the interpreter resumes the interrupted poll, which goes on waiting. Therefore the
+    interpreter writes each signal's number to a pipe that the scheduler polls. The object must keep both ends open:
+    a write end kept only in a local variable was garbage collected, so that the read end reported end of file for ever,
+    and the node looped on it and did not react to SIGTERM. A pipe is used because a socket pair consists of Unix
+    sockets, which the process may not be allowed to create.
     """
 
     def __init__(self, scheduler: Scheduler, numbers: Iterable[int], handle: Callable[[int], None]) -> None:
-        """Catch these signals from now on."""
+        """Install handlers for these signals and start the task."""
         self.scheduler, self.handle = scheduler, handle
         self.read_fd, self.write_fd = os.pipe()
         os.set_blocking(self.read_fd, False)
@@ -37,14 +38,16 @@
             except BlockingIOError:
                 continue
             if not numbers:
-                raise RuntimeError("signal pipe closed")  # waiting on would spin
+                raise RuntimeError(
+                    "signal pipe closed"
+                )  # waiting for it again would return at once, in an endless loop
             for number in numbers:
                 try:
                     self.handle(number)
-                except Exception as fault:  # whatever one signal leads to, the next must be heard
+                except Exception as fault:  # a failure in one handler must not stop the handling of later signals
                     self.scheduler.crashed(fault)
 
     def close(self) -> None:
-        """Let go of both ends; the caller has put the interpreter's wakeup descriptor back."""
+        """Close both ends; the caller must have restored the interpreter's wakeup descriptor before."""
         os.close(self.read_fd)
         os.close(self.write_fd)
--- a/tests/node_helper.py
+++ b/tests/node_helper.py
@@ -1,4 +1,4 @@
-"""The program as a process of its own, on ports that nobody has just now."""
+"""Runs a node as a process of its own, on free ports."""
 
 from __future__ import annotations
 
@@ -45,18 +45,19 @@
 
 
 def printing(folder: pathlib.Path) -> dict[str, object]:
-    """What a configuration says of a print side, with one printer that nobody plays."""
+    """The configuration keys of the print service, with one printer that does not exist."""
     printers = folder / "printers.conf"
     printers.write_text("printer label\n    uri ipp://127.0.0.1:9/ipp/print\n")
     return {"printers": str(printers), "ipp_listen": f"127.0.0.1:{free_port()}"}
 
 
 class Node:
-    """One process. A node beside another of the same `beside` takes its place."""
+    """One process of a node. With `beside`, it takes over from that other process of the same node."""
 
     def __init__(self, folder: pathlib.Path, beside: Node | None = None, **changes: Any) -> None:
         self.port = beside.port if beside is not None else free_port()
-        # $TMPDIR is private to a node and outlives a process; the system's, as a test's folder may be too long.
+        # $TMPDIR belongs to the node and outlives the process. It is made in the system's folder for temporary files,
+        # because the path of pytest's folder may be too long for a Unix socket.
         self.tmp = beside.tmp if beside is not None else tempfile.TemporaryDirectory(ignore_cleanup_errors=True)
         self.console_port = free_port()
         self.path = folder / f"config-{self.console_port}.json"
@@ -81,12 +82,12 @@
         self.process.send_signal(number)
 
     def until(self, *words: str) -> str:
-        """The next line of the log that holds one of the words."""
+        """Return the next log line that contains one of the words."""
         assert self.process.stdout is not None
         for line in self.process.stdout:
             if any(word in line for word in words):
                 return line
-        raise AssertionError(f"the node ended before it said {words}")
+        raise AssertionError(f"the node ended before it logged any of {words}")
 
     def rest(self) -> str:
         assert self.process.stdout is not None
@@ -96,18 +97,18 @@
         return socket.create_connection(("127.0.0.1", self.port), 10.0)
 
     def ready(self) -> bytes:
-        """The answer to /-/ready on a new connection."""
+        """Return the answer to /-/ready on a new connection."""
         with self.client() as sock:
             return exchange(sock, READY)
 
     def door(self) -> socket.socket:
-        """A connection to the place where an heir claims this node's process."""
+        """Connect to the Unix socket by which another process takes over from this one."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         sock.connect(f"{self.tmp.name}/pipitledge-127.0.0.1-{self.port}.sock")
         return sock
 
     def call(self, line: str) -> str:
-        """An operator's call and its answer."""
+        """Send an operator's call to the console and return the answer."""
         with socket.create_connection(("127.0.0.1", self.console_port), 10.0) as sock:
             sock.sendall(line.encode() + b"\n")
             with sock.makefile("rb") as answer:
@@ -130,6 +131,6 @@
     return b"POST /menu-plan HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\n\r\n" % name.encode()
 
 
-def exchange(sock: socket.socket, said: bytes) -> bytes:
-    sock.sendall(said)
+def exchange(sock: socket.socket, request: bytes) -> bytes:
+    sock.sendall(request)
     return sock.recv(4_096)
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""Deployments unlike each other: the matrix on stand-ins, what must be told, and what nobody knows."""
+"""Different deployments: a matrix of settings in emulation, required settings, and unknown settings."""
 
 from __future__ import annotations
 
@@ -21,48 +21,50 @@
 CELLS = [dict(zip(matrix.AXES, row, strict=True)) for row in AllPairs(list(matrix.AXES.values()))]
 
 
-def test_every_pair_of_values_meets_in_some_cell() -> None:
+def test_every_pair_of_values_occurs_in_some_cell() -> None:
     axes = list(matrix.AXES)
-    wanted = {
+    expected = {
         (one, a, two, b)
         for at, one in enumerate(axes)
         for two in axes[at + 1 :]
         for a in matrix.AXES[one]
         for b in matrix.AXES[two]
     }
-    met = {(one, cell[one], two, cell[two]) for cell in CELLS for at, one in enumerate(axes) for two in axes[at + 1 :]}
-    assert wanted == met
+    found = {
+        (one, cell[one], two, cell[two]) for cell in CELLS for at, one in enumerate(axes) for two in axes[at + 1 :]
+    }
+    assert expected == found
 
 
 @pytest.mark.parametrize("cell", CELLS, ids=lambda cell: "-".join(map(str, cell.values())))
-def test_the_module_keeps_the_rules_and_serves_what_plain_balancers_do(cell: dict[str, Any]) -> None:
+def test_the_module_keeps_the_rules_and_is_as_good_as_simple_balancers(cell: dict[str, Any]) -> None:
     played = matrix.play(cell, seed=2)
     assert not played.broken
     assert played.worth >= matrix.LEAST * max(played.plain.values()), played
 
 
-def test_the_matrix_can_fail() -> None:
-    """A balancer that sends to workers that drain, and one that serves too little, are found."""
+def test_the_matrix_detects_faulty_balancers() -> None:
+    """It detects a balancer that sends jobs to draining workers, and one that yields too little value."""
     cell = CELLS[0]
-    stubborn = Plain.handle
+    handle = Plain.handle
 
-    def deaf(self: Plain, now_ms: float, events: Any) -> Any:
+    def ignore_updates(self: Plain, now_ms: float, events: Any) -> Any:
         known = dict(self.rows)
-        actions = stubborn(self, now_ms, events)
-        self.rows |= known  # what it knew first it goes on believing
+        actions = handle(self, now_ms, events)
+        self.rows |= known  # it keeps its first data of each worker
         return actions
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Plain, "handle", deaf)
+        patch.setattr(Plain, "handle", ignore_updates)
         assert any(line.startswith("drain") for line in matrix.day(cell, "round robin", 1).broken())
     assert not matrix.Played(cell, 0.7, {"random": 0.9}, ()).holds
     assert not matrix.Played(cell, 0.9, {"random": 0.9}, ("a rule",)).holds
 
 
-# ---- what is told
+# ---- required and unknown settings
 
 
-def test_settings_that_no_page_names_are_found_by_their_place_and_the_others_are_not() -> None:
+def test_only_unknown_settings_are_reported_with_their_path() -> None:
     assert unknown(matrix.stated(CELLS[0])) == []
     odd = {
         "lanes": [{"name": "a", "colour": 1}, {"name": "b", "colour": 2}],
@@ -75,10 +77,10 @@
     assert unknown(odd) == ["discovery=gossip", "further", "lanes[].colour", "report.source=push", "rules.newer"]
 
 
-def test_a_node_says_once_what_nobody_knows_and_serves(tmp_path: pathlib.Path) -> None:
+def test_a_node_logs_unknown_settings_once_and_serves(tmp_path: pathlib.Path) -> None:
     with Node(tmp_path, settings=STATED | {"further": 1, "rules": {"ask_every_ms": 10_000.0, "newer": 2}}) as node:
         assert b" 200 " in node.ready()
-        node.signal(signal.SIGHUP)  # the same again is no news
+        node.signal(signal.SIGHUP)  # the same settings are not logged again
         node.until(" config discovery=")
         node.process.terminate()
         log = node.rest()
@@ -86,8 +88,10 @@
     assert json.loads(re.findall(r"counters=(.*)", log)[-1])["config.unknown"] == 2
 
 
-def test_a_node_told_push_follows_the_agent_from_its_start_and_again_after_its_end(tmp_path: pathlib.Path) -> None:
-    """It opened no connection at all, and lived on the list it had before its start."""
+def test_with_push_discovery_a_node_watches_the_agent_from_startup_and_again_after_each_end(
+    tmp_path: pathlib.Path,
+) -> None:
+    """Guards against a node that opened no connection to the agent, and kept the list from its configuration."""
     with socket.create_server(("127.0.0.1", 0)) as agent:
         agent.settimeout(20.0)
         where = "{}:{}".format(*agent.getsockname())
@@ -101,23 +105,23 @@
 
 
 @pytest.mark.parametrize(
-    "change, place",
+    "change, path_in_file",
     [
         ({"lanes": None}, "settings.lanes"),
         ({"lanes": []}, "settings.lanes: no class"),
         ({"lanes": [{"deadline_ms": 300.0}]}, "settings.lanes[0].name: missing"),
     ],
 )
-def test_what_is_needed_and_missing_refuses_the_start_with_its_place(
-    tmp_path: pathlib.Path, change: dict[str, Any], place: str
+def test_a_missing_required_setting_is_an_error_that_names_its_path(
+    tmp_path: pathlib.Path, change: dict[str, Any], path_in_file: str
 ) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(told(settings=STATED | change)))
-    with pytest.raises(config.ConfigError, match=re.escape(place)):
+    with pytest.raises(config.ConfigError, match=re.escape(path_in_file)):
         config.load({"BALANCER_CONFIG": str(path)})
 
 
-def test_the_page_on_deployments_names_every_setting_that_is_known() -> None:
+def test_the_deployments_page_documents_every_known_setting() -> None:
     page = (ROOT / "docs" / "design" / "deployments.md").read_text()
     for place, names in KNOWN.items():
         for name in names:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The program as it is started: configuration, readiness, a query refused, and an orderly end."""
+"""The node as a process: configuration, readiness, reload, refused queries, and orderly shutdown."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from pipitledge.node.front import AT_ONCE, SPARE
 
 
-def test_the_configuration_is_read(tmp_path: pathlib.Path) -> None:
+def test_the_configuration_is_loaded(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(told()))
     read = config.load({"BALANCER_CONFIG": str(path)})
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    "changes, word",
+    "changes, message",
     [
         ({"listen": "nowhere"}, "nowhere"),
         ({"settings": {}}, "settings.lanes"),
@@ -39,22 +39,24 @@
         ({"discovery": "h:99999"}, "99999"),
     ],
 )
-def test_a_bad_configuration_says_what_is_wrong(tmp_path: pathlib.Path, changes: dict[str, object], word: str) -> None:
+def test_a_bad_configuration_is_an_error_that_names_the_value(
+    tmp_path: pathlib.Path, changes: dict[str, object], message: str
+) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(told(**changes)))
-    with pytest.raises(config.ConfigError, match=word):
+    with pytest.raises(config.ConfigError, match=message):
         config.load({"BALANCER_CONFIG": str(path)})
 
 
 @pytest.mark.parametrize("sockets", [256, 384, 1_024])
-def test_descriptors_go_round_at_every_limit(sockets: int) -> None:
-    """A third of all for clients' requests, and links for the widest list: 13 workers of 5 slots."""
+def test_descriptors_suffice_at_every_limit(sockets: int) -> None:
+    """Clients get at least a third of the descriptors; links suffice for the largest list, 13 workers of 5 slots."""
     clients, links = budget(sockets)
     assert clients >= sockets / 3 and links >= 13 * 5
     assert BASE + SPARE + clients + links <= sockets and BASE - AT_ONCE >= 10
 
 
-def test_bodies_fit_into_the_memory_that_is_left() -> None:
+def test_the_limit_for_bodies_fits_the_available_memory() -> None:
     assert 2 << 20 <= bodies(32) <= 12 << 20 and 64 << 20 < bodies(192) < 172 << 20
 
 
@@ -64,15 +66,15 @@
         assert client.recv(4_096).startswith(b"HTTP/1.1 200 OK")
         client.sendall(b"POST /menu-plan HTTP/1.1\r\nHost: x\r\nRequest-Id: a\r\n\r\n")
         node.signal(signal.SIGTERM)
-        answer = client.recv(4_096)  # held without a worker until it can't be in time: then refused
+        answer = client.recv(4_096)  # queued, as there is no worker, and refused once the deadline can't be met
         assert answer.startswith(b"HTTP/1.1 503") and b"Retry-After: 2.000\r\n" in answer
-        assert client.recv(4_096) == b""  # idle when the time to serve is over
+        assert client.recv(4_096) == b""  # the connection is idle when the closing stage starts
         rest = node.rest()
         assert node.process.wait() == 0 and "stopped open=0" in rest and '"answer.throttle":1' in rest
 
 
-def test_sighup_follows_discovery_keeps_queries_and_outlives_bad_files(tmp_path: pathlib.Path) -> None:
-    """SIGHUP once ended the process; a file that can't be used must change nothing."""
+def test_sighup_changes_discovery_keeps_queries_and_ignores_bad_files(tmp_path: pathlib.Path) -> None:
+    """SIGHUP must not end the process, and a file that can't be used must change nothing."""
     with Node(tmp_path) as node, node.client() as client, socket.create_server(("127.0.0.1", 0)) as discovery:
         client.sendall(b"POST /menu-plan HTTP/1.1\r\nHost: x\r\nRequest-Id: a\r\n\r\n")
         whole = node.path.read_text()
@@ -104,15 +106,17 @@
             assert "moved=False" in node.until("config")
             node.signal(signal.SIGHUP)
             node.signal(signal.SIGTERM)
-            assert client.recv(4_096).startswith(b"HTTP/1.1 503")  # the query that was open all the time
+            assert client.recv(4_096).startswith(b"HTTP/1.1 503")  # the query that was open during all reloads
             rest = node.rest()
         assert node.process.wait() == 0 and '"config.kept":7' in rest and '"watch.watch-refused"' not in rest
 
 
-def test_a_node_that_prints_shares_its_descriptors_and_ends_when_both_sides_have(tmp_path: pathlib.Path) -> None:
+def test_a_node_that_prints_divides_its_descriptors_and_exits_when_both_services_have_stopped(
+    tmp_path: pathlib.Path,
+) -> None:
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 256}
     with Node(tmp_path, limits=limits, **printing(tmp_path)) as node, node.client() as client:
-        # 65 of 256 are the print side's: 32 clients, as many links, one poll
+        # the print service has 65 of 256 descriptors: 32 for clients, 32 for printers, 1 for the poll
         assert "clients={} links={}".format(*budget(256 - 65)) in node.first
         client.sendall(READY)
         assert client.recv(4_096).startswith(b"HTTP/1.1 200 OK")
@@ -122,10 +126,10 @@
 
 
 @pytest.mark.parametrize("prints", [False, True])
-def test_what_came_before_sigterm_with_a_longer_patience_is_answered_before_sigkill(
+def test_a_query_with_a_long_timeout_is_answered_between_sigterm_and_sigkill(
     tmp_path: pathlib.Path, prints: bool
 ) -> None:
-    """Jobs of 0.3 s, so that SIGKILL may come after 1 s; this client has 60 s, and its worker hangs just then."""
+    """With deadlines of 0.3 s, SIGKILL may follow after 1 s; the query's own timeout is 60 s, and its worker hangs."""
     with socket.create_server(("127.0.0.1", 0)) as worker:
         row = {
             "uid": "w0",
@@ -144,14 +148,14 @@
             with link:
                 assert b"Request-Id: a\r\n" in link.recv(4_096)
                 node.signal(signal.SIGTERM)
-                node.signal(signal.SIGTERM)  # a second one is no news
+                node.signal(signal.SIGTERM)  # a second one has no effect
                 answer = client.recv(4_096)
                 assert answer.startswith(b"HTTP/1.1 502") and answer.endswith(b"stopping")
                 assert node.process.wait(10) == 0 and '"query.cut-short":1' in node.rest()
 
 
-def test_the_build_leaves_nothing_to_compile_at_a_start(tmp_path: pathlib.Path) -> None:
-    """Where nodes cannot write their byte code, each start of each node compiled: 0.95 s of CPU beside 0.26."""
+def test_the_build_compiles_all_modules_that_a_start_needs(tmp_path: pathlib.Path) -> None:
+    """Where a node can't write byte code, each start compiled all modules: 0.95 s of CPU time instead of 0.26 s."""
     shutil.copytree(ROOT / "pipitledge", tmp_path / "pipitledge", ignore=shutil.ignore_patterns("__pycache__"))
     (tmp_path / ".venv").symlink_to(sys.prefix)
     build = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"]
@@ -159,17 +163,17 @@
     started = subprocess.run(
         [sys.executable, "-v", "-m", "pipitledge"], cwd=tmp_path, env={}, capture_output=True, text=True, timeout=60
     )
-    assert "config error=" in started.stdout  # by then all is imported
-    ours = [line for line in started.stderr.splitlines() if "pipitledge" in line and line.startswith("# ")]
-    assert [line for line in ours if "code object from" in line or " matches " in line]
-    assert not [line for line in ours if "wrote " in line or ("code object from" in line and ".pyc" not in line)]
+    assert "config error=" in started.stdout  # logged after all modules are imported
+    own = [line for line in started.stderr.splitlines() if "pipitledge" in line and line.startswith("# ")]
+    assert [line for line in own if "code object from" in line or " matches " in line]
+    assert not [line for line in own if "wrote " in line or ("code object from" in line and ".pyc" not in line)]
 
 
 @pytest.mark.parametrize("before", ["nothing", "lame duck", "longer deadlines", "shorter deadlines"])
-def test_all_that_a_node_takes_up_to_its_end_is_answered_though_clients_come_again_at_once(
+def test_all_accepted_queries_are_answered_at_shutdown_though_clients_send_on(
     tmp_path: pathlib.Path, before: str
 ) -> None:
-    """SIGTERM amid requests on each connection, every second job hung; each answer brings the next request."""
+    """SIGTERM with open requests on all connections; every second job hangs, and each answer causes a new request."""
 
     def lanes(deadline_ms: float) -> dict[str, object]:
         return STATED | {"lanes": [STATED["lanes"][0] | {"deadline_ms": deadline_ms, "objective_ms": deadline_ms}]}
@@ -189,19 +193,19 @@
             Node(tmp_path, settings=lanes(600.0), known={"rev": 1, "all": True, "targets": [row]})
         )
         clients = [opened.enter_context(node.client()) for _ in range(12)]
-        links, asked, answered, told = list[socket.socket](), 0, 0, False
+        links, asked, answered, sigterm_sent = list[socket.socket](), 0, 0, False
 
         def ask(client: socket.socket) -> None:
             nonlocal asked
             asked += 1
-            patience = b"Host: x\r\nRequest-Timeout-Ms: 60000\r\n" if asked % 3 else b"Host: x\r\n"
-            client.sendall(job(f"q{asked}").replace(b"Host: x\r\n", patience))
+            headers = b"Host: x\r\nRequest-Timeout-Ms: 60000\r\n" if asked % 3 else b"Host: x\r\n"
+            client.sendall(job(f"q{asked}").replace(b"Host: x\r\n", headers))
 
         for client in clients:
             ask(client)
         while clients:
-            if answered >= 30 and not told:
-                told = True
+            if answered >= 30 and not sigterm_sent:
+                sigterm_sent = True
                 if before == "lame duck":
                     assert node.call("LAMEDUCK") == "+OK"
                 elif before != "nothing":
@@ -215,19 +219,19 @@
                     links.append(opened.enter_context(worker.accept()[0]))
                     continue
                 with contextlib.suppress(ConnectionError):
-                    if not (said := sock.recv(65_536)):
+                    if not (data := sock.recv(65_536)):
                         (links if sock in links else clients).remove(sock)
                     elif sock in clients:
-                        assert said.startswith(b"HTTP/1.1 ") and b"\r\n\r\n" in said
+                        assert data.startswith(b"HTTP/1.1 ") and b"\r\n\r\n" in data
                         answered += 1
                         ask(sock)
                     else:
-                        name = said.split(b"Request-Id: ")[1].split(b"\r\n")[0].decode()
-                        if not told or int(name[1:]) % 2:  # from SIGTERM on every second one hangs
+                        name = data.split(b"Request-Id: ")[1].split(b"\r\n")[0].decode()
+                        if not sigterm_sent or int(name[1:]) % 2:  # after SIGTERM every second job hangs
                             sock.sendall(HEAD + line("done", name, result="x") + END)
                     continue
                 with contextlib.suppress(ValueError):
-                    clients.remove(sock)  # reset: what it had sent was never read
+                    clients.remove(sock)  # connection reset: its last request was not read
         rest = node.rest()
         assert node.process.wait(10) == 0 and answered >= 30
         assert json.loads(rest.split("counters=")[-1].splitlines()[0])["query.taken"] == answered
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Nodes that tell each other whether they serve: the membership against a model, and the datagrams."""
+"""Heartbeats between nodes: the peer membership against a model, and the datagrams."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
         max_size=20,
     )
 )
-def test_who_is_there_follows_its_model(steps: list[tuple[int, bytes, int]]) -> None:
+def test_the_nodes_that_serve_match_the_model(steps: list[tuple[int, bytes, int]]) -> None:
     membership, now = PeerMembership(1, 4), 1_000
     last: dict[int, tuple[bytes, int]] = {}
-    for number, said, wait in steps:
+    for number, datagram, wait in steps:
         now += wait
-        valid = number in (0, 2, 3) and said in (SERVING, NOT_SERVING)
-        assert membership.record(number, said, now) == valid
+        valid = number in (0, 2, 3) and datagram in (SERVING, NOT_SERVING)
+        assert membership.record(number, datagram, now) == valid
         if valid:
-            last[number] = said, now
+            last[number] = datagram, now
         serving = [
             number
             for number in range(4)
@@ -52,15 +52,15 @@
 
 
 @pytest.mark.parametrize("serving, number", [((0, 1, 2), 2), ((1, 2), 1), ((2,), 0)])
-def test_settings_among_those_there_keep_the_cold_budget_of_all(serving: tuple[int, ...], number: int) -> None:
+def test_settings_for_the_serving_nodes_keep_the_cold_budget_of_the_tier(serving: tuple[int, ...], number: int) -> None:
     rules = module_settings(instances=3, number=2, overload_factor=3.0)
     among = settings_for_members(rules, serving)
     assert (among.instances, among.number) == (len(serving), number)
-    # Each takes a part of a worker as large as its arc: all three alone are no more than one whole.
+    # Three nodes that each believe to be the only one must together stay within the budget of the tier.
     assert sum(among.overload_factor / among.instances for _ in range(3)) == pytest.approx(3.0)
 
 
-def test_a_node_left_alone_places_on_the_whole_fleet_at_once() -> None:
+def test_the_only_node_left_uses_the_whole_fleet_at_once() -> None:
     rules = module_settings(instances=2, number=0, tells_start=True)
     half, alone = (Driver(rules, workers=8) for _ in range(2))
     alone.tell(SettingsChanged(settings_for_members(rules, (0,))))
@@ -68,11 +68,11 @@
         len(of([action for number in range(64) for action in driver.job(f"j{number}")], Send))
         for driver in (half, alone)
     ]
-    assert sent == [16 + 8, 32]  # its arc and what it tries beyond; all slots
+    assert sent == [16 + 8, 32]  # its half of the slots plus trials on other workers; all slots
 
 
 class Pair:
-    """Two nodes' peers on loopback; each counts its changes."""
+    """The `Peers` of two nodes on loopback; `changes` counts the changes that each reports."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig, self.serves, self.changes = rig, [True, True], [0, 0]
@@ -110,7 +110,7 @@
     rig.settle()
 
 
-def test_a_node_that_is_out_says_so_at_once_and_one_that_falls_silent_is_missed(rig: Rig, pair: Pair) -> None:
+def test_a_node_announces_at_once_that_it_stops_serving_and_a_silent_node_times_out(rig: Rig, pair: Pair) -> None:
     zero, one = pair.peers
     assert zero.serving == one.serving == (0, 1) and rig.counters.counts["peer.heard"] == 2
     pair.serves[1] = False
@@ -130,15 +130,15 @@
     assert zero.serving == (0, 1) and pair.changes[0] == 4
 
 
-def test_strangers_and_rubbish_change_nothing(rig: Rig, pair: Pair) -> None:
+def test_datagrams_of_unknown_senders_are_ignored(rig: Rig, pair: Pair) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-        for said in (NOT_SERVING, b"", b"x" * 60_000):
-            stranger.sendto(said, pair.peers[0].listen)
+        for datagram in (NOT_SERVING, b"", b"x" * 60_000):
+            stranger.sendto(datagram, pair.peers[0].listen)
     rig.settle()
     assert pair.peers[0].serving == (0, 1) and rig.counters.counts["peer.ignored"] == 3
 
 
-def test_without_its_socket_a_node_serves_as_one_that_hears_nobody(rig: Rig, pair: Pair) -> None:
+def test_a_node_that_can_not_open_its_socket_counts_all_nodes_as_serving(rig: Rig, pair: Pair) -> None:
     other = Peers(
         rig.scheduler,
         rig,
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -1,4 +1,4 @@
-"""Settings that change: what is kept out, which numbers hold, and what becomes of jobs under way."""
+"""Changes of settings: which files are refused, stable indexes of names, and effects on open jobs."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
 )
 
 
-def with_(*changes: tuple[str, Any]) -> dict[str, Any]:
-    """The whole file with places changed, or without them where the value is KeyError."""
+def file_with(*changes: tuple[str, Any]) -> dict[str, Any]:
+    """The full file with values changed by path; a path with the value KeyError is removed."""
     raw = copy.deepcopy(FULL)
-    for place, value in changes:
-        *path, last = [int(key) if key.isdigit() else key for key in place.split("/")]
+    for location, value in changes:
+        *path, last = [int(key) if key.isdigit() else key for key in location.split("/")]
         at: Any = raw
         for key in path:
             at = at[key]
@@ -54,49 +54,49 @@
 
 
 @pytest.mark.parametrize(
-    "place, value, said",
+    "location, value, message",
     [
-        ("settings", KeyError, "settings: no object"),
-        ("settings", [], "settings: no object"),
+        ("settings", KeyError, "settings: not an object"),
+        ("settings", [], "settings: not an object"),
         ("discovery", KeyError, "discovery: missing"),
         ("listen", KeyError, "listen: missing"),
         ("limits/sockets", KeyError, "limits.sockets: missing"),
         ("limits/sockets", 0, "limits.sockets"),
         ("settings/permissions", KeyError, "settings.permissions: missing"),
         ("settings/permissions/max_attempts", KeyError, "settings.permissions.max_attempts: missing"),
-        ("settings/permissions/max_attempts", 0, "'0' is no positive whole number"),
-        ("settings/permissions/max_attempts", 2.5, "'2.5' is no positive whole number"),
-        ("settings/permissions/max_attempts", True, "no positive"),
-        ("settings/permissions/max_attempts", "3", "no positive"),
+        ("settings/permissions/max_attempts", 0, "'0' is not a positive whole number"),
+        ("settings/permissions/max_attempts", 2.5, "'2.5' is not a positive whole number"),
+        ("settings/permissions/max_attempts", True, "not a positive"),
+        ("settings/permissions/max_attempts", "3", "not a positive"),
         ("settings/permissions/cancel", 1, "settings.permissions.cancel: '1' is no true or false"),
         ("settings/rules/cold_ms", KeyError, "settings.rules.cold_ms: missing"),
         ("settings/rules/cold_ms", None, "settings.rules.cold_ms: 'None' is no number"),
         ("settings/lanes/1/deadline_ms", 0, "settings.lanes[1].deadline_ms"),
-        ("settings/lanes/1/deadline_ms", -5, "settings.lanes[1].deadline_ms: '-5' is no positive number"),
+        ("settings/lanes/1/deadline_ms", -5, "settings.lanes[1].deadline_ms: '-5' is not a positive number"),
         ("settings/lanes/0/deadline_ms", "5000", "settings.lanes[0].deadline_ms"),
-        ("settings/lanes/0/deadline_ms", float("inf"), "settings.lanes[0].deadline_ms: inf is no number"),
+        ("settings/lanes/0/deadline_ms", float("inf"), "settings.lanes[0].deadline_ms: inf is not a finite number"),
         ("settings/lanes/0/deadline_ms", KeyError, "settings.lanes[0].deadline_ms: missing"),
         ("settings/lanes/0/repeat", KeyError, "settings.lanes[0].repeat: missing"),
         ("settings/lanes/0/name", KeyError, "settings.lanes[0].name: missing"),
         ("settings/lanes/0/name", "order-pay", "named twice"),
         ("settings/lanes", [], "settings.lanes: no class"),
-        ("settings/lanes", {}, "settings.lanes: no list"),
-        ("settings/lanes/0", "menu-plan", "settings.lanes[0]: no object"),
+        ("settings/lanes", {}, "settings.lanes: not a list"),
+        ("settings/lanes/0", "menu-plan", "settings.lanes[0]: not an object"),
         ("settings/realms/0/share", "all", "settings.realms[0].share"),
         ("settings/shapes", [1], "settings.shapes[0]"),
         ("settings/specifics/class_stretch", [1.75], "settings.specifics.class_stretch: 1 values for 2 classes"),
     ],
 )
-def test_a_file_that_can_not_be_taken_is_kept_out_and_its_place_named(place: str, value: Any, said: str) -> None:
+def test_an_unusable_file_is_refused_and_the_location_named(location: str, value: Any, message: str) -> None:
     with pytest.raises(InvalidSettingsFile) as fault:
-        check_against(FULL, with_((place, value)))
-    assert said in str(fault.value)
+        check_against(FULL, file_with((location, value)))
+    assert message in str(fault.value)
     for raw in (None, [], "text", 5, {}):
         with pytest.raises(InvalidSettingsFile):
             check_against(FULL, raw)
 
 
-def test_what_an_operator_may_change_is_taken() -> None:
+def test_permitted_changes_are_accepted() -> None:
     lanes = ("settings/lanes", [LANE | {"repeat": "single_shot"}]), ("settings/specifics/class_stretch", [2.0])
     for changes in (
         lanes,
@@ -105,7 +105,7 @@
         (("known", KeyError),),
         (("more", {"x": 1}),),
     ):
-        check_against(FULL, with_(*changes))
+        check_against(FULL, file_with(*changes))
 
 
 @DERANDOMISED
@@ -119,7 +119,7 @@
         max_size=6,
     )
 )
-def test_names_keep_their_numbers_and_what_has_vanished_keeps_its_place(
+def test_names_keep_their_indexes_and_removed_ones_keep_their_values(
     files: list[tuple[list[str], list[str], list[str], int]], tmp_path_factory: pytest.TempPathFactory
 ) -> None:
     path = tmp_path_factory.getbasetemp() / "config.json"
@@ -149,7 +149,7 @@
 # ---- the module
 
 
-def test_jobs_under_way_keep_their_class_and_fewer_attempts_hold_at_once() -> None:
+def test_open_jobs_keep_their_class_and_a_lower_attempt_limit_applies_at_once() -> None:
     driver = Driver(module_settings(max_attempts=3), workers=3)
     [safe] = of(driver.job("safe"), Send)
     [other] = of(driver.job("other"), Send)
@@ -157,7 +157,7 @@
         classes=(UNSAFE, UNSAFE, SAFE), max_attempts=2, tenants=(Tenant(0.0), Tenant(0.5), Tenant(0.5))
     )
     driver.tell(SettingsChanged(stricter))
-    [again] = of(driver.end(safe, Result.ERROR), Send)  # its class was safe to repeat when it came
+    [again] = of(driver.end(safe, Result.ERROR), Send)  # its class was safe to repeat when it arrived
     assert of(driver.end(again, Result.ERROR), Refuse)  # the second attempt was the last
     [new] = of(driver.job("new", tenant=2, job_class=2), Send)
     assert of(driver.end(new, Result.ERROR), Send)
@@ -172,39 +172,42 @@
     )
     [second] = of(driver.end(other, Result.ERROR), Send)
     [third] = of(driver.end(second, Result.ERROR), Send)
-    assert not of(driver.end(third, Result.ERROR), Send)  # three were allowed when it came
+    assert not of(driver.end(third, Result.ERROR), Send)  # three were allowed when it arrived
     assert driver.policy.settings.classes[0].repeat is Repeat.UNSAFE
 
 
-def test_what_a_module_has_learned_comes_to_the_one_that_takes_its_place_by_name() -> None:
-    """Handed on as figures, a flag was a float and every further send a fault of the module."""
-    elder, heir = (Driver(module_settings(kinds=2), workers=0, seed=seed) for seed in (1, 2))
+def test_learned_values_are_handed_over_by_name_to_the_next_process() -> None:
+    """Guards against handing over every value as a float: a flag became one, and each later send failed."""
+    previous, successor = (Driver(module_settings(kinds=2), workers=0, seed=seed) for seed in (1, 2))
     rows = [Worker("w0"), Worker("w1", kind=1), Worker("w2", started_ms=900.0)]
-    elder.list(rows)
-    elder.learn_slots(6.0, 8)
-    heir.list(rows)
-    heir.now = elder.now
+    previous.list(rows)
+    previous.learn_slots(6.0, 8)
+    successor.list(rows)
+    successor.now = previous.now
     names = NameIndexes({"a": 0, "b": 1}, {}, {}, {"fast": 0, "slow": 1})
-    other = NameIndexes({"b": 0, "c": 1}, {}, {}, {"slow": 0, "fast": 1})  # in another order, and one is new
-    learned = json.loads(json.dumps(learned_by(elder.policy, names)))
-    given = inherited(learned, other, heir.policy)
+    other = NameIndexes({"b": 0, "c": 1}, {}, {}, {"slow": 0, "fast": 1})  # in another order, with a new class
+    learned = json.loads(json.dumps(learned_by(previous.policy, names)))
+    given = inherited(learned, other, successor.policy)
     assert given is not None
-    heir.tell(given)
-    assert heir.policy.slots == elder.policy.slots[::-1] and heir.policy.run_ms[0] == elder.policy.run_ms[1]
-    for name, worker in heir.policy.workers.items():
+    successor.tell(given)
+    assert (
+        successor.policy.slots == previous.policy.slots[::-1]
+        and successor.policy.run_ms[0] == previous.policy.run_ms[1]
+    )
+    for name, worker in successor.policy.workers.items():
         assert (worker.slowness, worker.cold_tokens, worker.tried) == (
-            elder.policy.workers[name].slowness,
-            elder.policy.workers[name].cold_tokens,
-            elder.policy.workers[name].tried,
+            previous.policy.workers[name].slowness,
+            previous.policy.workers[name].cold_tokens,
+            previous.policy.workers[name].tried,
         )
-    assert any(worker.tried for worker in heir.policy.workers.values())
-    heir.learn_slots(6.0, 8)
-    assert len(of(heir.did, Send)) == 8
+    assert any(worker.tried for worker in successor.policy.workers.values())
+    successor.learn_slots(6.0, 8)
+    assert len(of(successor.did, Send)) == 8
     for broken in ({}, {"run_ms": 5}, learned | {"spill": "much"}, learned | {"workers": [1]}):
-        assert inherited(broken, other, heir.policy) is None
+        assert inherited(broken, other, successor.policy) is None
 
 
-def test_a_worker_just_started_gets_one_safe_job_of_ours_and_no_other_before_it_is_warm_enough() -> None:
+def test_a_cold_worker_gets_one_safe_job_and_no_other_until_it_is_warm_enough() -> None:
     driver = Driver(module_settings(classes=(SAFE, UNSAFE), **COLD), workers=3)
     driver.learn_slots(4.0, 5)
     driver.list([Worker("w1", started_ms=driver.now)], Listing.DELTA)
@@ -216,7 +219,7 @@
 # ---- the node
 
 
-def test_a_running_node_takes_classes_in_and_keeps_jobs_of_those_that_vanish(tmp_path: pathlib.Path) -> None:
+def test_a_running_node_adds_classes_and_completes_jobs_of_removed_ones(tmp_path: pathlib.Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as worker:
         row = {
             "uid": "s-0",
@@ -239,19 +242,20 @@
                 node.signal(signal.SIGHUP)
                 assert "settings=changed classes=fish-cake,order-pay needs_restart=-" in node.until("config")
                 with node.client() as other:
-                    assert b" 404 " in exchange(other, job("b"))  # menu-plan has vanished
+                    assert b" 404 " in exchange(other, job("b"))  # the class menu-plan was removed
                 with node.client() as other:
                     other.sendall(job("c").replace(b"menu-plan", b"fish-cake"))
                     of_new, _ = worker.accept()
                     with of_new:
-                        assert b"Request-Id: c\r\n" in of_new.recv(4_096)  # what comes ahead of it is no answer to it
+                        # The request is read first: bytes sent before it would not count as its answer.
+                        assert b"Request-Id: c\r\n" in of_new.recv(4_096)
                         of_new.sendall(HEAD + line("done", "c", result="cakes") + END)
                         assert other.recv(4_096).endswith(b"cakes")
                 link.sendall(HEAD + line("done", result="menu") + END)
                 assert client.recv(4_096).endswith(b"menu")
 
 
-def test_plans_that_do_not_fit_the_new_settings_keep_all_as_it_was(tmp_path: pathlib.Path) -> None:
+def test_plans_that_do_not_fit_the_new_settings_leave_all_unchanged(tmp_path: pathlib.Path) -> None:
     plans = tmp_path / "attempts.conf"
     plans.write_text("class menu-plan\n  attempts 2\n")
     with Node(tmp_path, attempts=str(plans)) as node, node.client() as client:
