--- a/pipitledge/node/config.py
+++ b/pipitledge/node/config.py
@@ -157,19 +157,19 @@
 
 
 def _with_stable_indexes(new: Config, old: Config) -> Config:
-    stated, known = new.names.numbers, old.names.numbers
-    numbers = known.with_names(*map(list, (stated.classes, stated.tenants, stated.zones, stated.kinds)))
+    in_file, known = new.names.numbers, old.names.numbers
+    numbers = known.with_names(*map(list, (in_file.classes, in_file.tenants, in_file.zones, in_file.kinds)))
     names = Names(
-        classes={name.encode(): numbers.classes[name] for name in stated.classes},
-        tenants={name.encode(): numbers.tenants[name] for name in stated.tenants},
-        zones={name: numbers.zones[name] for name in stated.zones},
-        kinds={name: numbers.kinds[name] for name in stated.kinds},
+        classes={name.encode(): numbers.classes[name] for name in in_file.classes},
+        tenants={name.encode(): numbers.tenants[name] for name in in_file.tenants},
+        zones={name: numbers.zones[name] for name in in_file.zones},
+        kinds={name: numbers.kinds[name] for name in in_file.kinds},
         default_zone=next(
-            (numbers.zones[name] for name, index in stated.zones.items() if index == new.names.default_zone), 0
+            (numbers.zones[name] for name, index in in_file.zones.items() if index == new.names.default_zone), 0
         ),
         numbers=numbers,
     )
-    return replace(new, names=names, settings=renumbered(new.settings, stated, numbers, old.settings))
+    return replace(new, names=names, settings=renumbered(new.settings, in_file, numbers, old.settings))
 
 
 def _peers(raw: Mapping[str, Any]) -> dict[str, Any]:
@@ -182,25 +182,29 @@
 
 
 def _tier(raw: Mapping[str, Any]) -> TierConfig | None:
-    stated = raw.get("tier")
-    if not stated:
+    block = raw.get("tier")
+    if not block:
         return None
-    if not isinstance(stated, Mapping):
+    if not isinstance(block, Mapping):
         raise ConfigError("tier: no object")
-    if unknown := set(stated) - {"name", "members", "listen", "state", "key_file", "changes_need"}:
+    if unknown := set(block) - {"name", "members", "listen", "state", "key_file", "changes_need"}:
         raise ConfigError(f"tier.{min(unknown)}: not known")
-    members, name, needs = stated.get("members"), str(stated.get("name", "")), stated.get("changes_need", "majority")
+    members, name, changes_need = (
+        block.get("members"),
+        str(block.get("name", "")),
+        block.get("changes_need", "majority"),
+    )
     if not isinstance(members, Mapping) or not members:
         raise ConfigError("tier.members: must map names to addresses")
     if name not in members:
         raise ConfigError(f"tier.name: {name!r} is not in tier.members")
-    if needs not in ("majority", "all"):
-        raise ConfigError(f"tier.changes_need: {needs!r}; majority or all")
+    if changes_need not in ("majority", "all"):
+        raise ConfigError(f"tier.changes_need: {changes_need!r}; majority or all")
     for member in members:
         if not 0 < len(member) <= 12 or not member.isascii() or not member.isprintable() or "~" in member:
             raise ConfigError(f"tier.members.{member}: a name has 1 to 12 printable ASCII characters, without ~")
-    found = {str(member): address(str(where)) for member, where in members.items()}
-    listen = address(str(stated["listen"])) if stated.get("listen") else None
+    addresses = {str(member): address(str(where)) for member, where in members.items()}
+    listen = address(str(block["listen"])) if block.get("listen") else None
     if listen is None:
         peers = [address(str(peer)) for peer in raw.get("peers") or []]
         if not raw.get("peer_listen") or not ((raw.get("settings") or {}).get("permissions") or {}).get("peers"):
@@ -208,11 +212,11 @@
                 "tier.listen: missing; without it the tier uses datagrams, which need peer_listen and "
                 "settings.permissions.peers"
             )
-        for member, where in found.items():
+        for member, where in addresses.items():
             if where not in peers:
                 raise ConfigError(f"tier.members.{member}: its address is not in peers")
     return TierConfig(
-        name, found, listen, str(stated.get("state") or ""), str(stated.get("key_file") or ""), needs == "all"
+        name, addresses, listen, str(block.get("state") or ""), str(block.get("key_file") or ""), changes_need == "all"
     )
 
 
@@ -223,16 +227,16 @@
             raise ConfigError(f"{key} is missing")
         return str(value)
 
-    stated, limits = raw.get("settings") or {}, raw.get("limits") or {}
-    allow, known = stated.get("permissions") or {}, raw.get("known")
+    raw_settings, limits = raw.get("settings") or {}, raw.get("limits") or {}
+    permissions, known = raw_settings.get("permissions") or {}, raw.get("known")
     console = raw.get("console") or environ.get("BALANCER_CONSOLE")
     names = Names(
-        classes=_bytes(_names(stated.get("lanes"))),
-        tenants=_bytes(_names(stated.get("realms"))),
-        zones=_names(stated.get("zones")),
-        kinds=_names(stated.get("shapes")),
-        default_zone=int(stated.get("zone", 0)),
-        numbers=NameIndexes(*(_names(stated.get(key)) for key in ("lanes", "realms", "zones", "shapes"))),
+        classes=_bytes(_names(raw_settings.get("lanes"))),
+        tenants=_bytes(_names(raw_settings.get("realms"))),
+        zones=_names(raw_settings.get("zones")),
+        kinds=_names(raw_settings.get("shapes")),
+        default_zone=int(raw_settings.get("zone", 0)),
+        numbers=NameIndexes(*(_names(raw_settings.get(key)) for key in ("lanes", "realms", "zones", "shapes"))),
     )
     return Config(
         name=required("name"),
@@ -242,12 +246,12 @@
         sockets=int(limits.get("sockets", 1024)),
         memory_mb=int(limits.get("memory_mb", 192)),
         known=known if isinstance(known, dict) else {},
-        settings=settings_from(stated),
+        settings=settings_from(raw_settings),
         names=names,
-        dial_timeout_ms=float(allow.get("dial_timeout_ms", 1_000.0)),
-        idle_ms=float(allow.get("conn_idle_ms", 15_000.0)),
+        dial_timeout_ms=float(permissions.get("dial_timeout_ms", 1_000.0)),
+        idle_ms=float(permissions.get("conn_idle_ms", 15_000.0)),
         console=address(str(console)) if console else None,
-        **(_peers(raw) if allow.get("peers") and raw.get("peer_listen") else {}),
+        **(_peers(raw) if permissions.get("peers") and raw.get("peer_listen") else {}),
         raw={key: value for key, value in raw.items() if key != "known"},
         folder=environ.get("TMPDIR", ""),
         attempts=str(raw.get("attempts") or environ.get("PIPITLEDGE_ATTEMPTS", "")),
--- a/pipitledge/node/console.py
+++ b/pipitledge/node/console.py
@@ -166,13 +166,14 @@
         scheduler.spawn(self._accept, urgent=True)
 
     def _accept(self) -> None:
-        short = False
+        must_wait = False
         while True:
             self.scheduler.wait(
-                self.clock.now() + ACCEPT_RETRY_MS if short else float("inf"), -1 if short else self.listener.fileno()
+                self.clock.now() + ACCEPT_RETRY_MS if must_wait else float("inf"),
+                -1 if must_wait else self.listener.fileno(),
             )
             try:
-                short = not self._accept_all()
+                must_wait = not self._accept_all()
             except Exception as fault:  # a failure with one connection must not stop the accepting of others
                 self.scheduler.crashed(fault)
 
@@ -181,7 +182,7 @@
         return accept_some(
             self.listener,
             MAX_CONNECTIONS,
-            lambda: len(self.connections) < MAX_CONNECTIONS or self._evict_waiting(),
+            lambda: len(self.connections) < MAX_CONNECTIONS or self._evict_incomplete(),
             self._accepted,
             lambda _: self.counters.add("console.no-descriptor"),
         )
@@ -189,7 +190,7 @@
     def _accepted(self, sock: socket.socket) -> None:
         self.connections[ConsoleConnection(self, sock)] = None
 
-    def _evict_waiting(self) -> bool:
+    def _evict_incomplete(self) -> bool:
         """Close the oldest connection that has not sent a complete call; False if all wait for their answers."""
         for connection in self.connections:
             if not connection.has_call:
--- a/pipitledge/node/operations.py
+++ b/pipitledge/node/operations.py
@@ -25,7 +25,7 @@
         self.policy: Callable[[Call], str | None] = lambda call: NO_TIER
 
     def answer(self, call: Call) -> str | None:
-        """Carry out a call here and in the other processes; returns None on success, otherwise the reason of failure."""
+        """Carry out a call here and in the other processes; returns None on success, else the reason of failure."""
         if call.verb is Verb.POLICY:
             return self.policy(call)
         if call.verb is Verb.PING:
--- a/pipitledge/node/settings_file.py
+++ b/pipitledge/node/settings_file.py
@@ -19,10 +19,10 @@
     if not isinstance(raw, Mapping):
         raise InvalidSettingsFile("the file is not an object")
     _check_finite(raw, "")
-    stated = raw.get("settings")
-    if not isinstance(stated, Mapping):
+    settings = raw.get("settings")
+    if not isinstance(settings, Mapping):
         raise InvalidSettingsFile("settings: not an object")
-    lanes = stated.get("lanes")
+    lanes = settings.get("lanes")
     if not isinstance(lanes, list) or not lanes:  # a node without classes can't serve any request
         raise InvalidSettingsFile(
             "settings.lanes: " + ("missing" if lanes is None else "no class" if lanes == [] else "not a list")
@@ -34,9 +34,9 @@
             raise InvalidSettingsFile(f"settings.lanes[{index}].name: missing")
         if "deadline_ms" in lane:
             _check_positive(lane["deadline_ms"], f"settings.lanes[{index}].deadline_ms")
-    allowed, limits = stated.get("permissions"), raw.get("limits")
-    if isinstance(allowed, Mapping) and "max_attempts" in allowed:
-        _check_positive(allowed["max_attempts"], "settings.permissions.max_attempts", whole=True)
+    permissions, limits = settings.get("permissions"), raw.get("limits")
+    if isinstance(permissions, Mapping) and "max_attempts" in permissions:
+        _check_positive(permissions["max_attempts"], "settings.permissions.max_attempts", integer=True)
     for name, value in limits.items() if isinstance(limits, Mapping) else ():
         _check_positive(value, f"limits.{name}")
 
@@ -69,28 +69,28 @@
             raise InvalidSettingsFile(f"settings.specifics.{key}: {len(value)} values for {len(lanes)} classes")
 
 
-def _check_same_shape(old: Any, new: Any, place: str) -> None:
+def _check_same_shape(old: Any, new: Any, path: str) -> None:
     """Compare types recursively; each entry of a list must have the keys that all entries of the current list have."""
     if isinstance(old, Mapping):
         if not isinstance(new, Mapping):
-            raise InvalidSettingsFile(f"{place}: not an object")
+            raise InvalidSettingsFile(f"{path}: not an object")
         for key, value in old.items():
             if key not in new:
-                raise InvalidSettingsFile(f"{place}.{key}: missing")
-            _check_same_shape(value, new[key], f"{place}.{key}")
+                raise InvalidSettingsFile(f"{path}.{key}: missing")
+            _check_same_shape(value, new[key], f"{path}.{key}")
     elif isinstance(old, list):
         if not isinstance(new, list):
-            raise InvalidSettingsFile(f"{place}: not a list")
+            raise InvalidSettingsFile(f"{path}: not a list")
         entries = [entry for entry in old if isinstance(entry, Mapping)]
         if entries and len(entries) == len(old):
             common = {key: entries[0][key] for key in entries[0] if all(key in entry for entry in entries)}
             for index, entry in enumerate(new):
-                _check_same_shape(common, entry, f"{place}[{index}]")
+                _check_same_shape(common, entry, f"{path}[{index}]")
         elif old:
             for index, entry in enumerate(new):
-                _check_same_shape(old[0], entry, f"{place}[{index}]")
+                _check_same_shape(old[0], entry, f"{path}[{index}]")
     elif _type_name(old) != _type_name(new) and old is not None:
-        raise InvalidSettingsFile(f"{place}: {str(new)[:40]!r} is no {_type_name(old)}")
+        raise InvalidSettingsFile(f"{path}: {str(new)[:40]!r} is no {_type_name(old)}")
 
 
 def _type_name(value: Any) -> str:
@@ -99,18 +99,18 @@
     return "number" if isinstance(value, int | float) else "text" if isinstance(value, str) else type(value).__name__
 
 
-def _check_finite(value: Any, place: str) -> None:
+def _check_finite(value: Any, path: str) -> None:
     if isinstance(value, float) and not math.isfinite(value):
-        raise InvalidSettingsFile(f"{place}: {value} is not a finite number")
+        raise InvalidSettingsFile(f"{path}: {value} is not a finite number")
     parts = value.items() if isinstance(value, Mapping) else enumerate(value) if isinstance(value, list) else ()
     for key, part in parts:
-        _check_finite(part, (f"{place}.{key}" if place else str(key)) if isinstance(key, str) else f"{place}[{key}]")
+        _check_finite(part, (f"{path}.{key}" if path else str(key)) if isinstance(key, str) else f"{path}[{key}]")
 
 
-def _check_positive(value: Any, place: str, whole: bool = False) -> None:
+def _check_positive(value: Any, path: str, integer: bool = False) -> None:
     number = isinstance(value, int | float) and not isinstance(value, bool)
-    if not number or not value > 0 or (whole and value != int(value)):
-        raise InvalidSettingsFile(f"{place}: {str(value)[:40]!r} is not a positive {'whole ' if whole else ''}number")
+    if not number or not value > 0 or (integer and value != int(value)):
+        raise InvalidSettingsFile(f"{path}: {str(value)[:40]!r} is not a positive {'whole ' if integer else ''}number")
 
 
 # ---- stable indexes of names
@@ -147,20 +147,20 @@
     return with_names
 
 
-def renumbered(settings: Settings, stated: NameIndexes, numbers: NameIndexes, old: Settings) -> Settings:
+def renumbered(settings: Settings, in_file: NameIndexes, numbers: NameIndexes, old: Settings) -> Settings:
     """Convert settings from the file's indexes to the stable ones; removed classes keep their index and values."""
-    kinds = {index: numbers.kinds[name] for name, index in stated.kinds.items()}
+    kinds = {index: numbers.kinds[name] for name, index in in_file.kinds.items()}
     classes: list[JobClass] = [*old.classes, *settings.classes][: len(numbers.classes)]
-    for name, index in stated.classes.items():
+    for name, index in in_file.classes.items():
         job_class = settings.classes[index]
         classes[numbers.classes[name]] = replace(job_class, kind=kinds.get(job_class.kind, job_class.kind))
     tenants = settings.tenants
     if numbers.tenants:
         reordered = [Tenant(0.0, 0.0)] * len(numbers.tenants)  # a removed tenant has no share
-        for name, index in stated.tenants.items():
+        for name, index in in_file.tenants.items():
             reordered[numbers.tenants[name]] = settings.tenants[index]
         tenants = tuple(reordered)
-    zones = {index: numbers.zones[name] for name, index in stated.zones.items()}
+    zones = {index: numbers.zones[name] for name, index in in_file.zones.items()}
     return replace(
         settings,
         classes=tuple(classes),
--- a/tests/node_helper.py
+++ b/tests/node_helper.py
@@ -32,7 +32,7 @@
 }
 
 
-def told(**changes: object) -> dict[str, object]:
+def node_config(**changes: object) -> dict[str, object]:
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -44,7 +44,7 @@
     } | changes
 
 
-def printing(folder: pathlib.Path) -> dict[str, object]:
+def print_config(folder: pathlib.Path) -> dict[str, object]:
     """The configuration keys of the print service, with one printer that does not exist."""
     printers = folder / "printers.conf"
     printers.write_text("printer label\n    uri ipp://127.0.0.1:9/ipp/print\n")
@@ -52,13 +52,15 @@
 
 
 class Node:
-    """One process of a node. With `beside`, it takes over from that other process of the same node."""
+    """One process of a node. With `predecessor`, it takes over from that process of the same node."""
 
-    def __init__(self, folder: pathlib.Path, beside: Node | None = None, **changes: Any) -> None:
-        self.port = beside.port if beside is not None else free_port()
+    def __init__(self, folder: pathlib.Path, predecessor: Node | None = None, **changes: Any) -> None:
+        self.port = predecessor.port if predecessor is not None else free_port()
         # $TMPDIR belongs to the node and outlives the process. It is made in the system's folder for temporary files,
         # because the path of pytest's folder may be too long for a Unix socket.
-        self.tmp = beside.tmp if beside is not None else tempfile.TemporaryDirectory(ignore_cleanup_errors=True)
+        self.tmp = (
+            predecessor.tmp if predecessor is not None else tempfile.TemporaryDirectory(ignore_cleanup_errors=True)
+        )
         self.console_port = free_port()
         self.path = folder / f"config-{self.console_port}.json"
         self.write(**changes)
@@ -76,7 +78,7 @@
         self.first = self.until(" ready ", " config error=")
 
     def write(self, **changes: object) -> None:
-        self.path.write_text(json.dumps(told(listen=f"127.0.0.1:{self.port}", **changes)))
+        self.path.write_text(json.dumps(node_config(listen=f"127.0.0.1:{self.port}", **changes)))
 
     def signal(self, number: signal.Signals) -> None:
         self.process.send_signal(number)
@@ -101,7 +103,7 @@
         with self.client() as sock:
             return exchange(sock, READY)
 
-    def door(self) -> socket.socket:
+    def handover_socket(self) -> socket.socket:
         """Connect to the Unix socket by which another process takes over from this one."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         sock.connect(f"{self.tmp.name}/pipitledge-127.0.0.1-{self.port}.sock")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,7 +11,7 @@
 
 import pytest
 from click.testing import CliRunner
-from node_helper import ROOT, Node, told
+from node_helper import ROOT, Node, node_config
 
 from pipitledge.cli.main import main
 from pipitledge.emulator import site
@@ -41,8 +41,8 @@
     code, said = call("check", good, bad, "--settings", settings)
     assert code == 1 and said.splitlines()[0].startswith(f"{bad}:2:5: error: class menu-plan: attempts 9")
     code, said = call("check", bad, "--settings", settings, "--json")
-    told = json.loads(said)
-    assert code == 1 and not told["sound"] and [one["line"] for one in told["mistakes"]] == [2, 3]
+    report = json.loads(said)
+    assert code == 1 and not report["sound"] and [one["line"] for one in report["mistakes"]] == [2, 3]
     for words in (
         ["check", tmp_path / "none", "--settings", settings],
         ["check", good],
@@ -133,7 +133,7 @@
 def test_a_node_does_not_start_with_a_file_that_can_not_be_used(tmp_path: pathlib.Path) -> None:
     plans, config = tmp_path / "attempts.conf", tmp_path / "config.json"
     plans.write_text(UNSAFE)
-    config.write_text(json.dumps(told(attempts=str(plans))))
+    config.write_text(json.dumps(node_config(attempts=str(plans))))
     for form in ("plain", "json"):
         done = subprocess.run(
             [sys.executable, "-m", "pipitledge.cli", "run", "--config", config, "--log-format", form],
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -11,7 +11,7 @@
 
 import pytest
 from allpairspy import AllPairs
-from node_helper import ROOT, STATED, Node, told
+from node_helper import ROOT, STATED, Node, node_config
 
 from pipitledge.decision.settings import KNOWN, unknown
 from pipitledge.emulator import matrix
@@ -116,7 +116,7 @@
     tmp_path: pathlib.Path, change: dict[str, Any], path_in_file: str
 ) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told(settings=STATED | change)))
+    path.write_text(json.dumps(node_config(settings=STATED | change)))
     with pytest.raises(config.ConfigError, match=re.escape(path_in_file)):
         config.load({"BALANCER_CONFIG": str(path)})
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -14,7 +14,7 @@
 
 import pytest
 from net_helper import END, HEAD, line, readable
-from node_helper import READY, ROOT, STATED, Node, job, printing, told
+from node_helper import READY, ROOT, STATED, Node, job, node_config, print_config
 
 from pipitledge.node import config
 from pipitledge.node.budget import BASE, bodies, budget
@@ -23,7 +23,7 @@
 
 def test_the_configuration_is_loaded(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told()))
+    path.write_text(json.dumps(node_config()))
     read = config.load({"BALANCER_CONFIG": str(path)})
     assert read.names.classes == {b"menu-plan": 0} and read.names.kinds == {"fast-4": 0}
     assert (read.seed, read.sockets, read.dial_timeout_ms) == (0x8C1F30D27A5BE964, 1024, 100.0)
@@ -43,7 +43,7 @@
     tmp_path: pathlib.Path, changes: dict[str, object], message: str
 ) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told(**changes)))
+    path.write_text(json.dumps(node_config(**changes)))
     with pytest.raises(config.ConfigError, match=message):
         config.load({"BALANCER_CONFIG": str(path)})
 
@@ -115,7 +115,7 @@
     tmp_path: pathlib.Path,
 ) -> None:
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 256}
-    with Node(tmp_path, limits=limits, **printing(tmp_path)) as node, node.client() as client:
+    with Node(tmp_path, limits=limits, **print_config(tmp_path)) as node, node.client() as client:
         # the print service has 65 of 256 descriptors: 32 for clients, 32 for printers, 1 for the poll
         assert "clients={} links={}".format(*budget(256 - 65)) in node.first
         client.sendall(READY)
@@ -141,7 +141,7 @@
             "capacity_hint": 1.0,
             "boot_ms": 0,
         }
-        more = printing(tmp_path) if prints else {}
+        more = print_config(tmp_path) if prints else {}
         with Node(tmp_path, known={"rev": 1, "all": True, "targets": [row]}, **more) as node, node.client() as client:
             client.sendall(job("a").replace(b"Host: x\r\n", b"Host: x\r\nRequest-Timeout-Ms: 60000\r\n"))
             link, _ = worker.accept()
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -15,7 +15,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from net_helper import DERANDOMISED, END, HEAD, line
-from node_helper import Node, exchange, job, told
+from node_helper import Node, exchange, job, node_config
 
 from pipitledge.decision.interface import Listing, Refuse, Repeat, Result, Send, SettingsChanged, Tenant, Worker
 from pipitledge.node import config
@@ -23,7 +23,7 @@
 from pipitledge.upgrade.knowledge import inherited, learned_by
 
 LANE = {"name": "menu-plan", "deadline_ms": 5000, "objective_ms": 100.0, "repeat": "free", "worth": 1.0}
-FULL = told(
+FULL = node_config(
     settings={
         "lanes": [LANE, LANE | {"name": "order-pay", "repeat": "guarded", "dedup_scope": "cell", "window_ms": 7500}],
         "realms": [{"name": "hverdag", "share": 0.6}, {"name": "familie", "share": 0.4}],
@@ -261,7 +261,7 @@
     with Node(tmp_path, attempts=str(plans)) as node, node.client() as client:
         lanes = [LANE | {"name": "menu-plan", "repeat": "single_shot"}, LANE | {"name": "fish-cake"}]
         plans.write_text("class menu-plan\n  attempts 2\n  retry-on reset\n")
-        node.write(settings=told()["settings"] | {"lanes": lanes}, attempts=str(plans))  # type: ignore[operator]
+        node.write(settings=node_config()["settings"] | {"lanes": lanes}, attempts=str(plans))  # type: ignore[operator]
         node.signal(signal.SIGHUP)
         assert "does not fit these settings" in node.until(" config kept=")
         assert b" 404 " in exchange(client, job("b").replace(b"menu-plan", b"fish-cake"))
--- a/tests/test_tier_parts.py
+++ b/tests/test_tier_parts.py
@@ -14,7 +14,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from net_helper import DERANDOMISED, Rig
-from node_helper import Node, told
+from node_helper import Node, node_config
 
 from pipitledge.cli.main import main as cli
 from pipitledge.decision.interface import UNLIMITED, JobClass, Plan, Repeat, Result, Scope, Settings
@@ -330,7 +330,7 @@
 )
 def test_a_wrong_tier_block_refuses_the_start_with_its_place(tmp_path: pathlib.Path, tier: Any, why: str) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told(listen="127.0.0.1:1", tier=tier)))
+    path.write_text(json.dumps(node_config(listen="127.0.0.1:1", tier=tier)))
     with pytest.raises(ConfigError, match=why):
         load({"BALANCER_CONFIG": str(path)})
 
@@ -398,6 +398,6 @@
         code, output = run("diff", "2", "3", "--json")
         assert [row["place"] for row in json.loads(output)] == ["settings.permissions.max_attempts"]
         assert run("abort")[0] == 1 and run("vouch", "n9", "--yes")[0] == 1
-    with Node(tmp_path, beside=node, tier=tier) as again:  # from its disk: not the file's
+    with Node(tmp_path, predecessor=node, tier=tier) as again:  # from its disk: not the file's
         assert json.loads(again.call("POLICY STATUS")[4:])["version"] == 3
     assert CliRunner().invoke(cli, ["policy", "status", "--at", at]).exit_code == 2
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -144,7 +144,7 @@
 
 
 def heir_of(elder: Node, tmp_path: pathlib.Path, **changes: object) -> Node:
-    return Node(tmp_path, beside=elder, **{"settings": PATIENT, **changes})
+    return Node(tmp_path, predecessor=elder, **{"settings": PATIENT, **changes})
 
 
 def test_an_heir_takes_listener_and_idle_connections_and_the_elder_answers_what_it_has(tmp_path: pathlib.Path) -> None:
@@ -187,7 +187,7 @@
         elder.signal(signal.SIGTERM)
         assert elder.process.wait(10) == 0
         heir.until("ended=elder")
-        with Node(tmp_path, beside=heir, settings=PATIENT) as third:  # an upgrade after an upgrade
+        with Node(tmp_path, predecessor=heir, settings=PATIENT) as third:  # an upgrade after an upgrade
             assert b" 503 " in third.ready()
             assert third.call("REJOIN") == "+OK"
             heir.process.kill()
@@ -220,7 +220,7 @@
         assert b" 200 " in exchange(idle, READY)
         busy.sendall(job("held"))
         link, _ = worker.accept()
-        with link, elder.door() as heir:
+        with link, elder.handover_socket() as heir:
             heir.send(message(What.CLAIM, form=1, pid=1))
             elder.until("heir=1")
             while step != "claimed":
@@ -257,13 +257,16 @@
 def test_an_heir_whose_elder_dies_at_any_step_of_the_claim_starts_from_nothing(said: list[bytes] | None) -> None:
     """Before it reads the claim, after it, amid its estate, and with the estate told and no listener along."""
     logged: list[dict[str, object]] = []
-    with tempfile.TemporaryDirectory() as folder, socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as door:
-        door.bind(os.path.join(folder, "pipitledge-127.0.0.1-1.sock"))
-        door.listen()
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as handover_socket,
+    ):
+        handover_socket.bind(os.path.join(folder, "pipitledge-127.0.0.1-1.sock"))
+        handover_socket.listen()
 
         def die() -> None:
-            heir, _ = door.accept()
-            door.close()  # nobody else answers, as the process is gone
+            heir, _ = handover_socket.accept()
+            handover_socket.close()  # nobody else answers, as the process is gone
             with heir:
                 if said is not None:
                     assert read_message(heir.recv(1 << 16))[0] is What.CLAIM
@@ -305,7 +308,7 @@
 
 
 def test_a_third_process_is_refused_while_the_second_takes_over(elder: Node, tmp_path: pathlib.Path) -> None:
-    with elder.door() as slow:  # an heir that has claimed and does not go on
+    with elder.handover_socket() as slow:  # an heir that has claimed and does not go on
         slow.send(message(What.CLAIM, form=1, pid=1))
         elder.until("heir=1")
         with heir_of(elder, tmp_path) as third:
@@ -316,7 +319,7 @@
 
 @pytest.mark.parametrize("said", [b"rubbish", json.dumps({"what": "claim", "form": 99}).encode(), None])
 def test_who_is_no_heir_gets_nothing(elder: Node, said: bytes | None) -> None:
-    with elder.door() as nobody:
+    with elder.handover_socket() as nobody:
         if said is None:
             nobody.close()
         else:
