--- a/pipitledge/__main__.py
+++ b/pipitledge/__main__.py
@@ -131,7 +131,8 @@
             return 2
     if not plans.start():
         return 2
-    # Any failure below this line harms service: a process of this node that ran before stops accepting clients.
+    # From here on the start must not fail: an earlier process of this node stops accepting clients once this one claims
+    # its listener.
     succession = Succession(scheduler, clock, counters, log, current.folder, current.listen)
     try:
         console = Console(scheduler, clock, counters, log, current.console) if current.console is not None else None
--- a/pipitledge/node/peer_membership.py
+++ b/pipitledge/node/peer_membership.py
@@ -7,8 +7,8 @@
 
 from pipitledge.decision.interface import Settings
 
-HEARTBEAT_MS, SILENCE_TIMEOUT_MS = 400.0, 1_600.0  # datagrams may be lost; four lost in a row count as a failure
-SERVING, NOT_SERVING = b"pl1+", b"pl1-"
+HEARTBEAT_MS, SILENCE_TIMEOUT_MS = 400.0, 1_600.0  # single datagrams may be lost; four in a row count as a failure
+SERVING, NOT_SERVING = b"pl1+", b"pl1-"  # content of a heartbeat
 
 
 class PeerMembership:
@@ -20,15 +20,15 @@
         self._last_heard_ms = [math.inf] * instances  # infinite: no heartbeat so far, so no timeout
         self._serves = [True] * instances
 
-    def record(self, number: int, said: bytes, now_ms: float) -> bool:
+    def record(self, number: int, message: bytes, now_ms: float) -> bool:
         """Record the heartbeat of a peer; False if the sender or the content is not valid."""
-        if number == self.number or not 0 <= number < self.instances or said not in (SERVING, NOT_SERVING):
+        if number == self.number or not 0 <= number < self.instances or message not in (SERVING, NOT_SERVING):
             return False
-        self._last_heard_ms[number], self._serves[number] = now_ms, said == SERVING
+        self._last_heard_ms[number], self._serves[number] = now_ms, message == SERVING
         return True
 
     def serving(self, now_ms: float) -> tuple[int, ...]:
-        """The numbers of the nodes that serve, always including this node's."""
+        """Return the numbers of the nodes that serve, always including this node's."""
         return tuple(
             number
             for number in range(self.instances)
@@ -38,7 +38,7 @@
 
 
 def settings_for_members(settings: Settings, serving: tuple[int, ...]) -> Settings:
-    """The settings of this node, with `instances` and `number` counted among the nodes that serve.
+    """Return the settings of this node, with `instances` and `number` counted among the nodes that serve.
 
     The overload factor shrinks in proportion, so that this node's share of the cold budget stays the configured one:
     several nodes may each believe to be the only one that serves, and together must stay within the budget.
--- a/pipitledge/node/settings_file.py
+++ b/pipitledge/node/settings_file.py
@@ -42,7 +42,7 @@
 
 
 def check_against(old: Mapping[str, Any], new: object) -> None:
-    """Check a file against the current one: it has the same keys, and each value is of the same type."""
+    """Check a file against the current one: it has all keys of that one, with values of the same types."""
     check(new)
     assert isinstance(new, Mapping)
     for key, value in old.items():
@@ -141,10 +141,10 @@
 
 
 def _extended(known: Mapping[str, int], names: Sequence[str]) -> Mapping[str, int]:
-    with_names = dict(known)
+    extended = dict(known)
     for name in names:
-        with_names.setdefault(name, len(with_names))
-    return with_names
+        extended.setdefault(name, len(extended))
+    return extended
 
 
 def renumbered(settings: Settings, in_file: NameIndexes, numbers: NameIndexes, old: Settings) -> Settings:
--- a/pipitledge/node/signals.py
+++ b/pipitledge/node/signals.py
@@ -38,9 +38,7 @@
             except BlockingIOError:
                 continue
             if not numbers:
-                raise RuntimeError(
-                    "signal pipe closed"
-                )  # waiting for it again would return at once, in an endless loop
+                raise RuntimeError("signal pipe closed")  # further waits would return at once, in an endless loop
             for number in numbers:
                 try:
                     self.handle(number)
