--- a/pipitledge/node/peer_membership.py
+++ b/pipitledge/node/peer_membership.py
@@ -1,4 +1,4 @@
-"""Which nodes of the tier serve now, by what they say of themselves. No I/O."""
+"""Which nodes of the tier serve now, according to their own heartbeats. Does no I/O."""
 
 from __future__ import annotations
 
@@ -7,42 +7,47 @@
 
 from pipitledge.decision.interface import Settings
 
-BEAT_MS, SILENT_MS = 400.0, 1_600.0  # some of the messages are lost: four in a row are none by chance
-SERVES, OUT = b"pl1+", b"pl1-"
+HEARTBEAT_MS, SILENCE_TIMEOUT_MS = 400.0, 1_600.0  # single datagrams may be lost; four in a row count as a failure
+SERVING, NOT_SERVING = b"pl1+", b"pl1-"  # content of a heartbeat
 
 
-class Membership:
-    """Told what peers say and what time it is, it knows the numbers of those that serve."""
+class PeerMembership:
+    """Records heartbeats of peers, and derives from them and the time which node numbers serve."""
 
     def __init__(self, number: int, instances: int) -> None:
-        """Count everybody as there; who has never been heard may be unable to say so."""
+        """Count every node as serving; one that has never sent a heartbeat may be unable to send datagrams."""
         self.number, self.instances = number, instances
-        self._heard_ms = [math.inf] * instances  # never: it can't be silent
+        self._last_heard_ms = [math.inf] * instances  # infinite: no heartbeat so far, so no timeout
         self._serves = [True] * instances
 
-    def heard(self, number: int, said: bytes, now_ms: float) -> bool:
-        """Take a peer's word on itself; False where it is none."""
-        if number == self.number or not 0 <= number < self.instances or said not in (SERVES, OUT):
+    def record(self, number: int, message: bytes, now_ms: float) -> bool:
+        """Record the heartbeat of a peer; False if the sender or the content is not valid."""
+        if number == self.number or not 0 <= number < self.instances or message not in (SERVING, NOT_SERVING):
             return False
-        self._heard_ms[number], self._serves[number] = now_ms, said == SERVES
+        self._last_heard_ms[number], self._serves[number] = now_ms, message == SERVING
         return True
 
-    def there(self, now_ms: float) -> tuple[int, ...]:
-        """The numbers of those that serve; our own is always one."""
+    def serving(self, now_ms: float) -> tuple[int, ...]:
+        """Return the numbers of the nodes that serve, always including this node's."""
         return tuple(
             number
             for number in range(self.instances)
-            if number == self.number or (self._serves[number] and now_ms < self._heard_ms[number] + SILENT_MS)
+            if number == self.number
+            or (self._serves[number] and now_ms < self._last_heard_ms[number] + SILENCE_TIMEOUT_MS)
         )
 
 
-def settings_among(settings: Settings, there: tuple[int, ...]) -> Settings:
-    """The settings of one of those that serve. The cold budget stays what it was: all may believe to be alone."""
-    if len(there) == settings.instances or settings.number not in there:
+def settings_for_members(settings: Settings, serving: tuple[int, ...]) -> Settings:
+    """Return the settings of this node, with `instances` and `number` counted among the nodes that serve.
+
+    The overload factor shrinks in proportion, so that this node's share of the cold budget stays the configured one:
+    several nodes may each believe to be the only one that serves, and together must stay within the budget.
+    """
+    if len(serving) == settings.instances or settings.number not in serving:
         return settings
     return replace(
         settings,
-        instances=len(there),
-        number=there.index(settings.number),
-        overload_factor=settings.overload_factor * len(there) / settings.instances,
+        instances=len(serving),
+        number=serving.index(settings.number),
+        overload_factor=settings.overload_factor * len(serving) / settings.instances,
     )
--- a/pipitledge/node/peers.py
+++ b/pipitledge/node/peers.py
@@ -1,4 +1,4 @@
-"""The driver of the membership: datagrams to and from the other nodes of the tier."""
+"""Sends and receives the heartbeat datagrams of the tier's nodes."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from pipitledge.net.timers import Clock
 from pipitledge.node.config import Address
 from pipitledge.node.counters import Counters, Log
-from pipitledge.node.peer_membership import BEAT_MS, OUT, SERVES, Membership
+from pipitledge.node.peer_membership import HEARTBEAT_MS, NOT_SERVING, SERVING, PeerMembership
 
-AT_ONCE, LONGEST = 64, 256  # datagrams read in a round; bytes of one
+MAX_DATAGRAMS_PER_READ, MAX_DATAGRAM_BYTES = 64, 256  # at one wake-up; the longest that is read
 
 
 class Peers:
-    """Says whether this node serves, hears the others, and tells when the number of those that serve changes."""
+    """Announces whether this node serves, receives the other nodes' heartbeats, and reports changes of who serves."""
 
     def __init__(
         self,
@@ -26,27 +26,28 @@
         log: Log,
         listen: Address,
         peers: Sequence[Address],
-        everybody: Address | None,
-        membership: Membership,
+        shared_target: Address | None,
+        membership: PeerMembership,
     ) -> None:
-        """Know the addresses; `start` opens the socket."""
+        """Set the addresses; `start` opens the socket. With a shared target, one datagram to it reaches all peers."""
         self.scheduler, self.clock, self.counters, self.log = scheduler, clock, counters, log
         self.listen, self.membership = listen, membership
         self.numbers = {address: number for number, address in enumerate(peers)}
         self.targets = (
-            [everybody]
-            if everybody is not None
+            [shared_target]
+            if shared_target is not None
             else [address for address, number in self.numbers.items() if number != membership.number]
         )
-        self.there = membership.there(clock.now())
+        self.serving = membership.serving(clock.now())
         self.serves: Callable[[], bool] = lambda: True
-        self.changed: Callable[[], None] = lambda: None
-        self.other: Callable[[bytes, Address], bool] = lambda said, sender: False  # takes what is no word on serving
+        self.on_change: Callable[[], None] = lambda: None
+        # Handles datagrams of peers that are no heartbeats; returns False for one that it does not know.
+        self.on_other_datagram: Callable[[bytes, Address], bool] = lambda datagram, sender: False
         self.sock: socket.socket | None = None
         self._task: Task | None = None
 
     def start(self) -> None:
-        """Begin to talk, or go on; without the socket the node serves as one that hears nobody."""
+        """Open the socket and start the task, unless started; if that fails, the node serves without heartbeats."""
         if self.sock is not None:
             return
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -61,15 +62,15 @@
         self._task = self.scheduler.spawn(lambda: self._run(sock), urgent=True)
 
     def stop(self) -> None:
-        """Say and hear no more: another process of this node does, at the same address."""
+        """Close the socket: another process of this node takes over its address."""
         sock, self.sock = self.sock, None
         if sock is not None and self._task is not None:
             self.scheduler.forget(sock.fileno())
             sock.close()
             self._task.wake()
 
-    def beat(self) -> None:
-        """Say at once what is to be said at the next beat: the node's duty has changed."""
+    def announce(self) -> None:
+        """Send the next heartbeat now, as the node's life cycle stage has changed."""
         if self._task is not None:
             self._task.wake()
 
@@ -80,38 +81,38 @@
             if self.sock is not sock:
                 return
             if why is Wake.READY:
-                self._hear(sock)
+                self._receive(sock)
             else:
-                self._say(sock)
-                due = self.clock.now() + BEAT_MS
-            there = self.membership.there(self.clock.now())
-            if there != self.there:
-                self.there = there
-                self.log("peers", there=",".join(map(str, there)), of=self.membership.instances)
-                self.changed()
+                self._announce(sock)
+                due = self.clock.now() + HEARTBEAT_MS
+            serving = self.membership.serving(self.clock.now())
+            if serving != self.serving:
+                self.serving = serving
+                self.log("peers", there=",".join(map(str, serving)), of=self.membership.instances)
+                self.on_change()
 
-    def _hear(self, sock: socket.socket) -> None:
-        for _ in range(AT_ONCE):
+    def _receive(self, sock: socket.socket) -> None:
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
-                said, sender = sock.recvfrom(LONGEST)
-            except OSError:  # nothing more, or a peer's port was closed
+                datagram, sender = sock.recvfrom(MAX_DATAGRAM_BYTES)
+            except OSError:  # no more datagrams, or a peer's port is closed
                 return
-            if sender in self.numbers and self.other(said, sender):
+            if sender in self.numbers and self.on_other_datagram(datagram, sender):
                 continue
-            known = self.membership.heard(self.numbers.get(sender, -1), said, self.clock.now())
+            known = self.membership.record(self.numbers.get(sender, -1), datagram, self.clock.now())
             self.counters.add("peer.heard" if known else "peer.ignored")
 
-    def post(self, said: bytes, target: Address) -> bool:
-        """Send a datagram of another's to a peer; False where there is no socket."""
+    def send(self, datagram: bytes, target: Address) -> bool:
+        """Send a datagram of another component to a peer; False if the socket is not open."""
         if self.sock is None:
             return False
-        with contextlib.suppress(OSError):  # lost, as others are
-            self.sock.sendto(said, target)
+        with contextlib.suppress(OSError):  # datagrams may be lost in any case
+            self.sock.sendto(datagram, target)
         return True
 
-    def _say(self, sock: socket.socket) -> None:
-        word = SERVES if self.serves() else OUT
+    def _announce(self, sock: socket.socket) -> None:
+        heartbeat = SERVING if self.serves() else NOT_SERVING
         for target in self.targets:
-            with contextlib.suppress(OSError):  # lost, as others are
-                sock.sendto(word, target)
+            with contextlib.suppress(OSError):  # the next heartbeat replaces a lost one
+                sock.sendto(heartbeat, target)
                 self.counters.add("peer.said")
--- a/tests/test_tier_parts.py
+++ b/tests/test_tier_parts.py
@@ -14,14 +14,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from net_helper import DERANDOMISED, Rig
-from node_helper import Node, told
+from node_helper import Node, node_config
 
 from pipitledge.cli.main import main as cli
 from pipitledge.decision.interface import UNLIMITED, JobClass, Plan, Repeat, Result, Scope, Settings
 from pipitledge.emulator import site
 from pipitledge.emulator.ports import free_address, free_port
 from pipitledge.node.config import ConfigError, load
-from pipitledge.node.console import MOST_BODY, BadCall, CallSide, Verb, answer_line
+from pipitledge.node.console import MAX_BODY_BYTES, CallParser, InvalidCall, Verb, answer_line
 from pipitledge.tier import document, joint
 from pipitledge.tier import messages as m
 from pipitledge.tier.agreement import Memory
@@ -330,21 +330,26 @@
 )
 def test_a_wrong_tier_block_refuses_the_start_with_its_place(tmp_path: pathlib.Path, tier: Any, why: str) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told(listen="127.0.0.1:1", tier=tier)))
+    path.write_text(json.dumps(node_config(listen="127.0.0.1:1", tier=tier)))
     with pytest.raises(ConfigError, match=why):
         load({"BALANCER_CONFIG": str(path)})
 
 
 def test_a_call_brings_a_document_in_any_pieces() -> None:
-    side = CallSide()
+    side = CallParser()
     for part in (b"POLICY PROP", b"OSE 5 -\nab", b"c"):
         assert side.receive(part) is None
     call = side.receive(b"de and more")
     assert call is not None and call.verb is Verb.POLICY
     assert call.words == ("PROPOSE", "5", "-") and call.body == b"abcde"
-    for line in (b"POLICY\n", b"POLICY PROPOSE\n", b"POLICY PROPOSE x -\n", b"POLICY PROPOSE %d -\n" % (MOST_BODY + 1)):
-        with pytest.raises(BadCall):
-            CallSide().receive(line)
+    for line in (
+        b"POLICY\n",
+        b"POLICY PROPOSE\n",
+        b"POLICY PROPOSE x -\n",
+        b"POLICY PROPOSE %d -\n" % (MAX_BODY_BYTES + 1),
+    ):
+        with pytest.raises(InvalidCall):
+            CallParser().receive(line)
     assert answer_line("two\nlines") == b"-ERR two lines\n"
 
 
@@ -393,6 +398,6 @@
         code, output = run("diff", "2", "3", "--json")
         assert [row["place"] for row in json.loads(output)] == ["settings.permissions.max_attempts"]
         assert run("abort")[0] == 1 and run("vouch", "n9", "--yes")[0] == 1
-    with Node(tmp_path, beside=node, tier=tier) as again:  # from its disk: not the file's
+    with Node(tmp_path, predecessor=node, tier=tier) as again:  # from its disk: not the file's
         assert json.loads(again.call("POLICY STATUS")[4:])["version"] == 3
     assert CliRunner().invoke(cli, ["policy", "status", "--at", at]).exit_code == 2
