--- a/pipitledge/__main__.py
+++ b/pipitledge/__main__.py
@@ -14,7 +14,7 @@
 from pipitledge.net.scheduler import Scheduler
 from pipitledge.net.timers import Clock, Timers
 from pipitledge.node import config
-from pipitledge.node.budget import bodies, budget
+from pipitledge.node.budget import budget, max_held_body_bytes
 from pipitledge.node.console import Console
 from pipitledge.node.counters import Counters, Log, writer
 from pipitledge.node.dispatch import Dispatch
@@ -159,7 +159,16 @@
     dispatch.links, dispatch.watch = pool, group.watch
     scheduler.after_round = dispatch.round
     front = Front(
-        scheduler, clock, dispatch, counters, log, told.names, told.settings, listener, clients, bodies(told.memory_mb)
+        scheduler,
+        clock,
+        dispatch,
+        counters,
+        log,
+        told.names,
+        told.settings,
+        listener,
+        clients,
+        max_held_body_bytes(told.memory_mb),
     )
     front.plan_of = plans.plan
     operations = Operations(dispatch, group, front, succession.ask_others)
@@ -216,8 +225,8 @@
         name=told.name,
         listen="{}:{}".format(*told.listen),
         workers=len(group.addresses),
-        clients=front.most,
-        links=pool.most,
+        clients=front.max_links,
+        links=pool.max_links,
         claimed=claimed is not None,
     )
     gc.collect()
--- a/pipitledge/emulator/print_day.py
+++ b/pipitledge/emulator/print_day.py
@@ -17,7 +17,7 @@
 from pipitledge.net.timers import Timers
 from pipitledge.node.counters import Counters
 from pipitledge.node.dispatch import Answer, Dispatch, Execution, Served, Throttle
-from pipitledge.node.endings import Ending
+from pipitledge.node.end_reasons import EndReason
 
 WIRE_MS, DIAL_MS, QUIET_MS, AGAIN_MS = 1.0, 100.0, 500.0, 250.0  # a request's silence; between two looks
 SETTINGS = Settings(
@@ -107,7 +107,7 @@
 
         def act() -> Callable[[], Ask]:
             self.placement.document_began()
-            self.day.dispatch.noted(self.execution, 0.0)
+            self.day.dispatch.execution_progressed(self.execution, 0.0)
             if not self.printer.receive(self.day.now(), job, whole=True):
                 return lambda: self.placement.refused(Status.NOT_FOUND)
             self.day.follow(self.printer)
@@ -155,7 +155,7 @@
         """Faults are drawn for each exchange. `trusts`: what may have printed is taken for unprinted (for tests)."""
         self.time, self.random = 1_000_000.0, random.Random(seed)
         self.faults, self.reconciles = Faults(seed, rates), reconciles
-        self.endings = ENDINGS | ({Verdict.MAY_HAVE_PRINTED: Ending.PROVED_UNPRINTED} if trusts else {})
+        self.endings = ENDINGS | ({Verdict.MAY_HAVE_PRINTED: EndReason.PROVED_UNPRINTED} if trusts else {})
         self.timers, self.counters, self.ledger = Timers(self.now), Counters(), Counter[str]()
         self.crashes: list[BaseException] = []
         clock: Any = self
@@ -172,7 +172,7 @@
         self.placed: dict[str, list[Verdict]] = {}
         self.drained: dict[str, float] = {}
         self.latest_after_drain_ms = 0.0
-        self.dispatch.listed(WorkersChanged(Listing.FULL, tuple(Worker(name) for name in self.printers)))
+        self.dispatch.workers_changed(WorkersChanged(Listing.FULL, tuple(Worker(name) for name in self.printers)))
         if restarts_s:
             for name in self.printers:
                 first_ms = self.random.uniform(0.5, 1.5) * restarts_s * 1_000.0
@@ -189,7 +189,7 @@
     def restart(self, name: str, every_s: float) -> None:
         """Power a printer off and on: ids begin again, jobs are gone, it is cold."""
         self.printers[name].restart(self.time)
-        self.dispatch.listed(WorkersChanged(Listing.DELTA, (Worker(name, started_ms=self.time),)))
+        self.dispatch.workers_changed(WorkersChanged(Listing.DELTA, (Worker(name, started_ms=self.time),)))
         if len(self.answers) < self.expected or self.dispatch.queries:
             self.at(every_s * 1_000.0, lambda: self.restart(name, every_s))
 
@@ -197,7 +197,7 @@
         """printer-is-accepting-jobs turns false, and the node hears of it."""
         self.printers[name].accepting = False
         self.drained[name] = self.time
-        self.dispatch.listed(WorkersChanged(Listing.DELTA, (Worker(name, State.DRAINING),)))
+        self.dispatch.workers_changed(WorkersChanged(Listing.DELTA, (Worker(name, State.DRAINING),)))
 
     def submit(self, name: str) -> None:
         """A client hands in a label."""
--- a/pipitledge/emulator/tier_day.py
+++ b/pipitledge/emulator/tier_day.py
@@ -19,7 +19,7 @@
 from pipitledge.emulator.virtual import ENDS, Day
 from pipitledge.emulator.worker import Job, Machine, Rack, Said, Worker
 from pipitledge.node.dispatch import Dispatch, Execution
-from pipitledge.node.endings import Ending
+from pipitledge.node.end_reasons import EndReason
 
 SAME_MS, CROSS_MS, ASKED_MS, WEIGHTS_MS = 0.5, 8.0, 5.0, 1_000.0
 
@@ -94,7 +94,7 @@
     def _answered(self) -> None:
         if not self.follows:
             self.follows = True
-            self.dispatch.listed(WorkersChanged(Listing.FULL, self.day.rows()))
+            self.dispatch.workers_changed(WorkersChanged(Listing.FULL, self.day.rows()))
             self.day.told_all()
 
     def start(self, execution: Execution) -> None:
@@ -106,7 +106,7 @@
         """Answer a probe, with a report where the deployment has any."""
         wire = 2 * self.day.between(self, worker)
         report = self.day.workers[worker].report(self.day.time) if self.settings.report_fields else None
-        self.day.at(wire, lambda: self.dispatch.probed(worker, Ending.SERVED, wire, report))
+        self.day.at(wire, lambda: self.dispatch.probe_ended(worker, EndReason.SERVED, wire, report))
 
 
 class TierDay(Day):
@@ -139,7 +139,7 @@
         self.traffic = [1.0 + number for number in range(len(self.sides))]  # unlike, as sites are
         for side in self.sides:
             listing = Listing.FULL if side.follows else Listing.CACHED
-            side.dispatch.listed(WorkersChanged(listing, self.rows()))
+            side.dispatch.workers_changed(WorkersChanged(listing, self.rows()))
 
     def rows(self) -> tuple[api.Worker, ...]:
         """The whole list as it is now."""
@@ -160,7 +160,7 @@
             self.audit.told_back(name)
         for side in self.sides:
             if side.follows:
-                side.dispatch.listed(WorkersChanged(Listing.DELTA, (self.row(name, state),)))
+                side.dispatch.workers_changed(WorkersChanged(Listing.DELTA, (self.row(name, state),)))
         self.told_all()
 
     def told_all(self) -> None:
@@ -174,7 +174,7 @@
         """Renew live weights until that time."""
         for side in self.sides:
             if side.follows:
-                side.dispatch.listed(WorkersChanged(Listing.DELTA, self.rows()))
+                side.dispatch.workers_changed(WorkersChanged(Listing.DELTA, self.rows()))
         if self.time < until_ms:
             self.at(WEIGHTS_MS, lambda: self.weigh(until_ms))
 
@@ -202,7 +202,7 @@
         if told.get(said.state, said.state in ENDS):
             super().hear(worker, said)
 
-    def end(self, job: Job, ending: Ending, report: dict[str, float] | None = None) -> None:
+    def end(self, job: Job, ending: EndReason, report: dict[str, float] | None = None) -> None:
         """The one ending of an execution; reports only where answers carry them."""
         super().end(job, ending, report if self.settings.reports_with_answers else None)
 
--- a/pipitledge/emulator/virtual.py
+++ b/pipitledge/emulator/virtual.py
@@ -29,11 +29,18 @@
 from pipitledge.net.timers import Timers
 from pipitledge.node.counters import Counters
 from pipitledge.node.dispatch import Answer, Dispatch, Execution, Served, Throttle
-from pipitledge.node.endings import RESULTS, Ending
+from pipitledge.node.end_reasons import RESULT_BY_END_REASON, EndReason
 
 WIRE_MS, DIAL_MS, SLOW = 1.0, 100.0, 12.0
-ENDS = {"done": Ending.SERVED, "failed": Ending.WORKER_FAILED, "lost": Ending.JOB_LOST, "returned": Ending.HANDED_BACK}
-NEVER_RAN = {ending for ending, result in RESULTS.items() if result.value in ("full", "connect_failed", "moot")}
+ENDS = {
+    "done": EndReason.SERVED,
+    "failed": EndReason.WORKER_FAILED,
+    "lost": EndReason.JOB_LOST,
+    "returned": EndReason.HANDED_BACK,
+}
+NEVER_RAN = {
+    ending for ending, result in RESULT_BY_END_REASON.items() if result.value in ("full", "connect_failed", "moot")
+}
 
 
 class Day:
@@ -72,7 +79,7 @@
         self.latencies: dict[int, list[float]] = {index: [] for index in range(len(settings.classes))}
         self.in_time = [0] * len(settings.classes)
         self.asked = [0] * len(settings.classes)
-        self.dispatch.listed(WorkersChanged(Listing.FULL, tuple(self.row(name) for name in self.workers)))
+        self.dispatch.workers_changed(WorkersChanged(Listing.FULL, tuple(self.row(name) for name in self.workers)))
 
     def now(self) -> float:
         """Virtual milliseconds."""
@@ -94,7 +101,7 @@
     def tell(self, name: str, state: State) -> None:
         """Discovery's news of a worker reach the node."""
         (self.audit.told_back if state is State.SERVING else lambda n: self.audit.told_drain(n, self.time))(name)
-        self.dispatch.listed(WorkersChanged(Listing.DELTA, (self.row(name, state),)))
+        self.dispatch.workers_changed(WorkersChanged(Listing.DELTA, (self.row(name, state),)))
 
     def drain(self, name: str, back_after_ms: float = math.inf) -> None:
         """A worker drains; then, if it is to, it restarts cold and comes back."""
@@ -105,7 +112,7 @@
     def restart(self, name: str) -> None:
         """A worker dies and starts again, cold; what it held breaks."""
         for job in self.workers[name].restart(self.time):
-            self.end(job, Ending.BROKEN_AFTER_SENT)
+            self.end(job, EndReason.BROKEN_AFTER_SENT)
         self.at(self.lag_ms, lambda: self.tell(name, State.SERVING))
 
     def arrivals(self, per_s: float, for_ms: float) -> None:
@@ -196,13 +203,13 @@
         self.hosts[job] = execution
         execution.wake = lambda: self.called_off(job)
         # The node gives up at the execution's deadline, whatever the worker does.
-        self.timers.at(execution.deadline_ms, lambda: self.given_up(job, Ending.OUT_OF_TIME))
+        self.timers.at(execution.deadline_ms, lambda: self.given_up(job, EndReason.OUT_OF_TIME))
         wire = self.wire_ms(execution)
         early = {
-            Fault.REFUSE: (wire, Ending.DIAL_REFUSED),
-            Fault.HANG: (DIAL_MS, Ending.DIAL_TIMEOUT),
-            Fault.BREAK_BEFORE: (wire, Ending.BROKEN_BEFORE_SENT),
-            Fault.FULL: (2 * wire, Ending.HANDED_BACK),
+            Fault.REFUSE: (wire, EndReason.DIAL_REFUSED),
+            Fault.HANG: (DIAL_MS, EndReason.DIAL_TIMEOUT),
+            Fault.BREAK_BEFORE: (wire, EndReason.BROKEN_BEFORE_SENT),
+            Fault.FULL: (2 * wire, EndReason.HANDED_BACK),
         }
         if fault in early:
             delay, ending = early[fault]
@@ -210,15 +217,16 @@
             return
         self.at(wire, lambda: self.arrive(worker, job))
         if fault is Fault.BREAK_AFTER:
-            self.at(2 * wire, lambda: self.end(job, Ending.BROKEN_AFTER_SENT))
+            self.at(2 * wire, lambda: self.end(job, EndReason.BROKEN_AFTER_SENT))
         elif fault is Fault.BREAK_AMID:
-            self.at(wire + wanted.work_ms / 2, lambda: self.end(job, Ending.BROKEN_AFTER_SENT))
+            self.at(wire + wanted.work_ms / 2, lambda: self.end(job, EndReason.BROKEN_AFTER_SENT))
 
     def arrive(self, worker: Worker, job: Job) -> None:
         """The request's last byte came."""
         if not worker.offer(self.time, job):
             self.at(
-                self.wire_ms(self.hosts[job]) if job in self.hosts else 0.0, lambda: self.end(job, Ending.HANDED_BACK)
+                self.wire_ms(self.hosts[job]) if job in self.hosts else 0.0,
+                lambda: self.end(job, EndReason.HANDED_BACK),
             )
         self.follow(worker)
 
@@ -247,18 +255,18 @@
         if said.state in ENDS:
             self.end(said.job, ENDS[said.state], worker.report(self.time))
         else:
-            self.dispatch_of(execution).noted(execution, said.share if said.state == "running" else 0.0)
+            self.dispatch_of(execution).execution_progressed(execution, said.share if said.state == "running" else 0.0)
 
-    def end(self, job: Job, ending: Ending, report: dict[str, float] | None = None) -> None:
+    def end(self, job: Job, ending: EndReason, report: dict[str, float] | None = None) -> None:
         """The one ending of an execution."""
         execution = self.hosts.pop(job, None)
         if execution is None:
             return
         job.attempt.ended_ms, job.attempt.never_ran = self.time, ending in NEVER_RAN
-        result = job.id.encode() if ending is Ending.SERVED else b""
+        result = job.id.encode() if ending is EndReason.SERVED else b""
         self.dispatch_of(execution).ended(execution, ending, report, result)
 
-    def given_up(self, job: Job, ending: Ending) -> None:
+    def given_up(self, job: Job, ending: EndReason) -> None:
         """The node stops waiting for an execution; the job may run on."""
         if job in self.hosts:
             execution = self.hosts[job]
@@ -267,13 +275,15 @@
 
     def called_off(self, job: Job) -> None:
         """The dispatch woke the link: the module cancelled."""
-        self.at(0.0, lambda: self.given_up(job, Ending.CALLED_OFF))
+        self.at(0.0, lambda: self.given_up(job, EndReason.CALLED_OFF))
 
     def probe(self, worker: str) -> None:
         """Answer a probe."""
         self.at(
             2 * WIRE_MS,
-            lambda: self.dispatch.probed(worker, Ending.SERVED, 2 * WIRE_MS, self.workers[worker].report(self.time)),
+            lambda: self.dispatch.probe_ended(
+                worker, EndReason.SERVED, 2 * WIRE_MS, self.workers[worker].report(self.time)
+            ),
         )
 
 
--- a/pipitledge/ipp/endings.py
+++ b/pipitledge/ipp/endings.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from pipitledge.ipp.placement import Verdict
-from pipitledge.node.endings import Ending
+from pipitledge.node.end_reasons import EndReason
 
 # Can it have printed? NOT_REACHED: no request came whole. TURNED_AWAY: the printer said that it took nothing.
 # UNPRINTED: no byte of the document went out, or the printer itself says that no impression was made and none will
 # be. REJECTED never printed either, but is the job's own fault: WORKER_FAILED ends it, as another printer would say
 # the same. MAY_HAVE_PRINTED is all that is left without a proof.
 ENDINGS = {
-    Verdict.PRINTED: Ending.SERVED,
-    Verdict.TURNED_AWAY: Ending.HANDED_BACK,
-    Verdict.NOT_REACHED: Ending.DIAL_REFUSED,
-    Verdict.UNPRINTED: Ending.PROVED_UNPRINTED,
-    Verdict.MAY_HAVE_PRINTED: Ending.MAY_HAVE_PRINTED,
-    Verdict.REJECTED: Ending.WORKER_FAILED,
+    Verdict.PRINTED: EndReason.SERVED,
+    Verdict.TURNED_AWAY: EndReason.HANDED_BACK,
+    Verdict.NOT_REACHED: EndReason.DIAL_REFUSED,
+    Verdict.UNPRINTED: EndReason.PROVED_UNPRINTED,
+    Verdict.MAY_HAVE_PRINTED: EndReason.MAY_HAVE_PRINTED,
+    Verdict.REJECTED: EndReason.WORKER_FAILED,
 }
--- a/pipitledge/ipp/node.py
+++ b/pipitledge/ipp/node.py
@@ -155,7 +155,7 @@
                 news = self.printers.silent(name)
             if news is not None:
                 self.log("printer", name=name, state=news.state.value, up_time=self.printers.up_time[name])
-                self.dispatch.listed(WorkersChanged(Listing.DELTA, (news,)))
+                self.dispatch.workers_changed(WorkersChanged(Listing.DELTA, (news,)))
             self.scheduler.wait(self.clock.now() + POLL_MS)
 
     def _recover(self, record: PrintRecord) -> None:
--- a/pipitledge/ipp/printer_link.py
+++ b/pipitledge/ipp/printer_link.py
@@ -25,7 +25,7 @@
 from pipitledge.net.timers import Clock
 from pipitledge.node.counters import Counters, Log
 from pipitledge.node.dispatch import Dispatch, Execution
-from pipitledge.node.endings import Ending
+from pipitledge.node.end_reasons import EndReason
 
 ANSWER_MS, AGAIN_MS, MOST_ANSWER = 2_000.0, 250.0, 1 << 20
 INCOMING = {"job-incoming", "job-data-insufficient"}
@@ -78,14 +78,14 @@
 
     def _run(self, execution: Execution) -> None:
         passage: PrintPassage = execution.query.passage
-        ending = Ending.OUR_FAULT
+        ending = EndReason.OUR_FAULT
         one = PrinterRun(self, self.printers[execution.worker], passage, execution)
         try:
             verdict = one.run()
             passage.verdict = verdict
             ending = ENDINGS[verdict]
             if verdict in (Verdict.UNPRINTED, Verdict.TURNED_AWAY) and not passage.document.can_begin:
-                ending = Ending.WORKER_FAILED  # proved unprinted, but its beginning is gone: it can't go elsewhere
+                ending = EndReason.WORKER_FAILED  # proved unprinted, but its beginning is gone: it can't go elsewhere
             record = self.jobs.records[passage.number]
             if verdict not in (Verdict.PRINTED, Verdict.MAY_HAVE_PRINTED) and record.state is JobState.PROCESSING:
                 self.jobs.move(passage.number, JobState.PENDING, sent=False)
@@ -195,7 +195,7 @@
             self.links.jobs.note(self.passage.number, sent=True)
             self.placement.document_began()
             if self.execution is not None:
-                self.links.dispatch.noted(self.execution, 0.0)
+                self.links.dispatch.execution_progressed(self.execution, 0.0)
 
         answer = self.exchange(Op.SEND_DOCUMENT, self.deadline_ms, self.passage.document, begins)
         return self.placement.taken() if answer.code < 0x0400 else self.placement.refused(answer.code)
--- a/pipitledge/node/dispatch.py
+++ b/pipitledge/node/dispatch.py
@@ -16,11 +16,11 @@
 from pipitledge.decision.policy import Policy
 from pipitledge.net.timers import Clock, Timer, Timers
 from pipitledge.node.counters import Counters, Log
-from pipitledge.node.endings import RESULTS, Ending
+from pipitledge.node.end_reasons import RESULT_BY_END_REASON, EndReason
 
 # An answer has to be out before the client gives up: executions are given up this much before its patience
 # ends, and what the module should have lost track of is failed this much after that.
-EARLY_MS, EARLY_SHARE, OVERDUE_MS = 10.0, 0.1, 15.0
+ANSWER_MARGIN_MS, ANSWER_MARGIN_SHARE, OVERDUE_GRACE_MS = 10.0, 0.1, 15.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,12 +55,12 @@
     passage: Any  # what the server link passes on; opaque here
     reply: Callable[[Answer], None]
     deadline_ms: float = 0.0
-    most: int = 1 << 30  # executions that the settings allowed when it came
-    sends: int = 0  # executions so far, MOOT ones included: their numbers follow the module's sends
-    out: dict[int, Execution] = field(default_factory=dict)
+    max_executions: int = 1 << 30  # executions that the settings allowed when it came
+    execution_count: int = 0  # executions so far, MOOT ones included: their numbers follow the module's sends
+    executions: dict[int, Execution] = field(default_factory=dict)
     open: bool = True
-    overdue: Timer | None = None
-    later: Timer | None = None  # the module's for this query: of no use once the query is over
+    overdue_timer: Timer | None = None
+    policy_timer: Timer | None = None  # the module's for this query: of no use once the query is finished
 
 
 @dataclass(slots=True, eq=False)
@@ -75,10 +75,10 @@
     ended: bool = False
     abandoned: bool = False  # the module has called it off, whatever has become of it
     withdrawn: bool = False  # the module wants it back if it has not gone out whole
-    noted: bool = False  # the worker has said that it runs
+    reported_running: bool = False  # the worker has said that it runs
     wake: Callable[[], None] | None = None  # its server link's
 
-    def is_off(self) -> bool:
+    def is_cancelled(self) -> bool:
         """Whether none of it may be written any more; asked up to its last byte, from which on it may have run."""
         return self.abandoned or self.withdrawn or not self.query.open
 
@@ -87,7 +87,7 @@
     """The side that carries out executions and probes."""
 
     def start(self, execution: Execution) -> None:
-        """Carry it out; its ending is told to the dispatch."""
+        """Carry it out; its end_reason is told to the dispatch."""
 
     def probe(self, worker: str) -> None:
         """Ask a worker how it is; the result is told to the dispatch."""
@@ -106,13 +106,13 @@
         self.open = 0
         self.end_by_ms = math.inf  # of a node that stops: queries taken from then on end by this time
         self.idle: Callable[[], None] = lambda: None  # told when a query was answered and none is left
-        self.elsewhere: set[str] = set()  # ids that are still open in the process whose place we took
+        self.open_in_predecessor: set[str] = set()  # ids that are still open in the process whose place we took
         self.over: Callable[[list[str]], None] = lambda ids: None  # told of ids that are no longer open here
-        self._over: list[Query] = []
-        self._carry: dict[type, Callable[[Any], None]] = {
+        self._finished: list[Query] = []
+        self._handlers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send,
-            api.Cancel: self._call_off,
-            api.Withdraw: self._call_off,
+            api.Cancel: self._cancel,
+            api.Withdraw: self._cancel,
             api.Refuse: self._refuse,
             api.Fail: self._fail,
             api.Probe: lambda action: self.links.probe(action.worker),
@@ -125,14 +125,14 @@
 
     def take(self, arrival: api.JobArrived, passage: Any, reply: Callable[[Answer], None]) -> Query | None:
         """Take a query; None if one of this id is still here, as the module would ignore the second."""
-        if arrival.job in self.queries or arrival.job in self.elsewhere:
+        if arrival.job in self.queries or arrival.job in self.open_in_predecessor:
             return None
-        query = Query(arrival, passage, reply, most=self.policy.settings.max_attempts)
-        early = min(EARLY_MS, EARLY_SHARE * arrival.lasts_ms)
-        query.deadline_ms = min(self.clock.now() + arrival.lasts_ms - early, self.end_by_ms)
+        query = Query(arrival, passage, reply, max_executions=self.policy.settings.max_attempts)
+        margin = min(ANSWER_MARGIN_MS, ANSWER_MARGIN_SHARE * arrival.lasts_ms)
+        query.deadline_ms = min(self.clock.now() + arrival.lasts_ms - margin, self.end_by_ms)
         if arrival.plan.learned is not None:
             arrival.plan.learned.arrived(self.clock.now())
-        query.overdue = self.timers.at(query.deadline_ms + OVERDUE_MS, lambda: self._overdue(query))
+        query.overdue_timer = self.timers.at(query.deadline_ms + OVERDUE_GRACE_MS, lambda: self._fail_overdue(query))
         self.queries[arrival.job] = query
         self.open += 1
         self.counters.add("query.taken")
@@ -147,17 +147,17 @@
             self._close(query)
             self.events.append(api.ClientGone(query.arrival.job))
 
-    def end_all(self) -> None:
+    def fail_open_queries(self) -> None:
         """Answer all that is open, as the process ends: one may have come before that was told, with patience."""
         for query in [query for query in self.queries.values() if query.open]:
             self.counters.add("query.cut-short")
             self._answer(query, Failure("stopping"))
             self.events.append(api.ClientGone(query.arrival.job))
 
-    def _overdue(self, query: Query) -> None:
+    def _fail_overdue(self, query: Query) -> None:
         """Fail a query that the module has not ended in time; it guards against any loss on the way there."""
         if query.open:
-            self.log("overdue", query=query.arrival.job, sends=query.sends, out=len(query.out))
+            self.log("overdue", query=query.arrival.job, sends=query.execution_count, out=len(query.executions))
             self.counters.add("query.overdue")
             self._answer(query, Failure("overdue"))
             self.events.append(api.ClientGone(query.arrival.job))
@@ -165,46 +165,52 @@
     # ---- from server links and the host group
 
     def ended(
-        self, execution: Execution, ending: Ending, report: Mapping[str, float] | None = None, result: bytes = b""
+        self,
+        execution: Execution,
+        end_reason: EndReason,
+        report: Mapping[str, float] | None = None,
+        result: bytes = b"",
     ) -> None:
-        """Take the one ending of an execution; the first that served answers the query."""
+        """Take the one end_reason of an execution; the first that served answers the query."""
         if execution.ended:
             return
         execution.ended, query = True, execution.query
-        query.out.pop(execution.number, None)
-        self.counters.add(f"execution.{ending.value}")
-        if ending is Ending.SERVED and query.arrival.plan.learned is not None:
+        query.executions.pop(execution.number, None)
+        self.counters.add(f"execution.{end_reason.value}")
+        if end_reason is EndReason.SERVED and query.arrival.plan.learned is not None:
             query.arrival.plan.learned.served(self.clock.now() - execution.sent_ms)
-        if ending is Ending.SERVED and query.open:
+        if end_reason is EndReason.SERVED and query.open:
             self._answer(query, Served(result))
-        elif not query.open and not query.out:
-            self._over.append(query)
+        elif not query.open and not query.executions:
+            self._finished.append(query)
         self.events.append(
             api.AttemptEnded(
                 query.arrival.job,
                 execution.number,
                 execution.worker,
-                RESULTS[ending],
+                RESULT_BY_END_REASON[end_reason],
                 self.clock.now() - execution.sent_ms,
                 not query.open,
                 report,
             )
         )
 
-    def noted(self, execution: Execution, fraction: float) -> None:
+    def execution_progressed(self, execution: Execution, fraction: float) -> None:
         """An execution started, or came so far."""
         if not execution.ended:
-            execution.noted = True
+            execution.reported_running = True
             self.events.append(
                 api.AttemptNote(execution.query.arrival.job, execution.number, execution.worker, fraction)
             )
 
-    def probed(self, worker: str, ending: Ending, elapsed_ms: float, report: Mapping[str, float] | None = None) -> None:
+    def probe_ended(
+        self, worker: str, end_reason: EndReason, elapsed_ms: float, report: Mapping[str, float] | None = None
+    ) -> None:
         """Take the result of a probe."""
-        self.counters.add(f"probe.{ending.value}")
-        self.events.append(api.ProbeEnded(worker, RESULTS[ending], elapsed_ms, report))
+        self.counters.add(f"probe.{end_reason.value}")
+        self.events.append(api.ProbeEnded(worker, RESULT_BY_END_REASON[end_reason], elapsed_ms, report))
 
-    def listed(self, change: api.WorkersChanged) -> None:
+    def workers_changed(self, change: api.WorkersChanged) -> None:
         """Take news of the host group."""
         self.counters.add(f"list.{change.listing.value}")
         self.events.append(change)
@@ -218,30 +224,30 @@
             try:
                 actions = self.policy.handle(self.clock.now(), events)
             except Exception:
-                self._module_fault(events)
+                self._policy_failed(events)
                 actions = list(self.policy.actions)
             for action in actions:
                 try:
-                    self._carry[type(action)](action)
+                    self._handlers[type(action)](action)
                 except Exception:
                     self.counters.add("fault.action")
                     self.log("fault", action=action, trace=traceback.format_exc())
         # Only now: within the round the module may still have named a query that had just ended.
-        over = [query.arrival.job for query in self._over if not query.out]
-        for name in over:
+        finished = [query.arrival.job for query in self._finished if not query.executions]
+        for name in finished:
             self.queries.pop(name, None)
-        self._over.clear()
-        if over:
-            self.over(over)
+        self._finished.clear()
+        if finished:
+            self.over(finished)
 
-    def _module_fault(self, events: list[api.Event]) -> None:
+    def _policy_failed(self, events: list[api.Event]) -> None:
         """Lose no query with the module's exception: those it may not have seen are failed now."""
         self.counters.add("fault.module")
         self.log("fault", where="module", trace=traceback.format_exc())
         for event in events:
             if isinstance(event, (api.JobArrived, api.AttemptEnded)):
                 query = self.queries.get(event.job)
-                if query is not None and query.open and not query.out:
+                if query is not None and query.open and not query.executions:
                     self._answer(query, Failure("module fault"))
                     self.events.append(api.ClientGone(event.job))
 
@@ -254,20 +260,24 @@
             self.events.append(api.AttemptEnded(action.job, 0, action.worker, api.Result.MOOT, 0.0, True))
             return
         deadline = min(query.deadline_ms, now + action.timeout_ms) if action.timeout_ms else query.deadline_ms
-        execution = Execution(query, query.sends, action.worker, now, deadline)
-        query.sends += 1
-        query.out[execution.number] = execution
-        if not query.open or now >= deadline or query.sends > min(query.most, self.policy.settings.max_attempts):
-            self.ended(execution, Ending.NEVER_SENT)
+        execution = Execution(query, query.execution_count, action.worker, now, deadline)
+        query.execution_count += 1
+        query.executions[execution.number] = execution
+        if (
+            not query.open
+            or now >= deadline
+            or query.execution_count > min(query.max_executions, self.policy.settings.max_attempts)
+        ):
+            self.ended(execution, EndReason.NEVER_SENT)
         else:
             self.counters.add("execution.started")
             if execution.number:
-                self.counters.add("execution.copy" if len(query.out) > 1 else "execution.again")
+                self.counters.add("execution.copy" if len(query.executions) > 1 else "execution.again")
             self.links.start(execution)
 
-    def _call_off(self, action: api.Cancel | api.Withdraw) -> None:
+    def _cancel(self, action: api.Cancel | api.Withdraw) -> None:
         query = self.queries.get(action.job)
-        if query is not None and (execution := query.out.get(action.attempt)) is not None:
+        if query is not None and (execution := query.executions.get(action.attempt)) is not None:
             if isinstance(action, api.Cancel):
                 execution.abandoned = True
             else:
@@ -276,12 +286,12 @@
                 execution.wake()
 
     def _refuse(self, action: api.Refuse) -> None:
-        self._final(action.job, Throttle(action.retry_after_ms))
+        self._answer_if_open(action.job, Throttle(action.retry_after_ms))
 
     def _fail(self, action: api.Fail) -> None:
-        self._final(action.job, Failure("failed"))
+        self._answer_if_open(action.job, Failure("failed"))
 
-    def _final(self, job: str, answer: Answer) -> None:
+    def _answer_if_open(self, job: str, answer: Answer) -> None:
         query = self.queries.get(job)
         if query is not None and query.open:
             self._answer(query, answer)
@@ -291,9 +301,9 @@
             self.policy.now + action.delay_ms, lambda: self.events.append(api.TimerFired(action.token))
         )
         if action.job and (query := self.queries.get(action.job)) is not None:
-            if query.later is not None:
-                query.later.cancel()
-            query.later = timer
+            if query.policy_timer is not None:
+                query.policy_timer.cancel()
+            query.policy_timer = timer
 
     # ---- answers
 
@@ -313,13 +323,13 @@
     def _close(self, query: Query) -> None:
         query.open = False
         self.open -= 1
-        for timer in (query.overdue, query.later):
+        for timer in (query.overdue_timer, query.policy_timer):
             if timer is not None:
                 timer.cancel()
-        for execution in query.out.values():
+        for execution in query.executions.values():
             if execution.wake is not None:  # one that has not gone out yet ends with its query
                 execution.wake()
-        if not query.out:
-            self._over.append(query)
+        if not query.executions:
+            self._finished.append(query)
         if not self.open:
             self.idle()
--- a/pipitledge/node/endings.py
+++ b/pipitledge/node/end_reasons.py
@@ -7,7 +7,7 @@
 from pipitledge.decision.interface import Result
 
 
-class Ending(Enum):
+class EndReason(Enum):
     """One value for each way to end; the text is what logs and counters say."""
 
     # executions at a worker
@@ -51,23 +51,23 @@
 # The one place where an execution's ending becomes the module's outcome. FULL, CONNECT_FAILED and MOOT
 # promise that the job never ran, so only endings before the request's last byte may map to them, or those for
 # which the worker itself has given the proof since.
-RESULTS = {
-    Ending.SERVED: Result.OK,
-    Ending.WORKER_FAILED: Result.ERROR,
-    Ending.HANDED_BACK: Result.FULL,
-    Ending.JOB_LOST: Result.RESET,
-    Ending.NO_ADDRESS: Result.CONNECT_FAILED,
-    Ending.NO_SOCKET: Result.FULL,  # ours to run out of, and no failure of the worker
-    Ending.DIAL_REFUSED: Result.CONNECT_FAILED,
-    Ending.DIAL_TIMEOUT: Result.CONNECT_FAILED,
-    Ending.BROKEN_BEFORE_SENT: Result.CONNECT_FAILED,
-    Ending.BROKEN_AFTER_SENT: Result.RESET,
-    Ending.BROKEN_ANSWER: Result.RESET,
-    Ending.OUT_OF_TIME: Result.TIMEOUT,
-    Ending.CALLED_OFF: Result.CANCELLED,
-    Ending.NEVER_SENT: Result.MOOT,
-    Ending.TAKEN_BACK: Result.MOOT,
-    Ending.OUR_FAULT: Result.RESET,
-    Ending.PROVED_UNPRINTED: Result.CONNECT_FAILED,
-    Ending.MAY_HAVE_PRINTED: Result.RESET,
+RESULT_BY_END_REASON = {
+    EndReason.SERVED: Result.OK,
+    EndReason.WORKER_FAILED: Result.ERROR,
+    EndReason.HANDED_BACK: Result.FULL,
+    EndReason.JOB_LOST: Result.RESET,
+    EndReason.NO_ADDRESS: Result.CONNECT_FAILED,
+    EndReason.NO_SOCKET: Result.FULL,  # ours to run out of, and no failure of the worker
+    EndReason.DIAL_REFUSED: Result.CONNECT_FAILED,
+    EndReason.DIAL_TIMEOUT: Result.CONNECT_FAILED,
+    EndReason.BROKEN_BEFORE_SENT: Result.CONNECT_FAILED,
+    EndReason.BROKEN_AFTER_SENT: Result.RESET,
+    EndReason.BROKEN_ANSWER: Result.RESET,
+    EndReason.OUT_OF_TIME: Result.TIMEOUT,
+    EndReason.CALLED_OFF: Result.CANCELLED,
+    EndReason.NEVER_SENT: Result.MOOT,
+    EndReason.TAKEN_BACK: Result.MOOT,
+    EndReason.OUR_FAULT: Result.RESET,
+    EndReason.PROVED_UNPRINTED: Result.CONNECT_FAILED,
+    EndReason.MAY_HAVE_PRINTED: Result.RESET,
 }
--- a/pipitledge/node/front.py
+++ b/pipitledge/node/front.py
@@ -22,36 +22,38 @@
 from pipitledge.node.counters import Counters, Log
 from pipitledge.node.dispatch import Answer, Dispatch, Failure, Query, Served, Throttle
 from pipitledge.node.duty import Duty
-from pipitledge.node.endings import Ending
+from pipitledge.node.end_reasons import EndReason
 from pipitledge.node.plan_file import PlanOf, unlimited
-from pipitledge.node.server_link import Passage
+from pipitledge.node.server_link import ForwardedRequest
 
-IDLE_MS = 120_000.0  # a connection that has served may stand idle for so long
+IDLE_TIMEOUT_MS = 120_000.0  # a connection that has served may stand idle for so long
 # From accepting a connection to its first whole request, and on a used one from a request's first byte to its
 # last, however the bytes come: clients that say nothing or half a request are to be rid of within 3 s.
-REQUEST_MS = 2_500.0
+REQUEST_TIMEOUT_MS = 2_500.0
 # When places are short, those give way first who have sent nothing for so long: no byte yet, part of a request.
-FRESH_MS, STALLED_MS = 250.0, 700.0
-WRITE_MS, LINGER_MS = 10_000.0, 2_000.0
-ACCEPT_AGAIN_MS = 20.0  # without a descriptor to spare
-SPARE = 16  # connections over the budget that are told to come back, where nobody idle can be closed
-AT_ONCE = 12  # accepted in a round: who makes room for them closes in the next, and the tasks need their turn
+NEW_LINK_GRACE_MS, STALLED_MS = 250.0, 700.0
+WRITE_TIMEOUT_MS, LINGER_TIMEOUT_MS = 10_000.0, 2_000.0
+ACCEPT_RETRY_MS = 20.0  # without a descriptor to spare
+OVERFLOW_LINKS = 16  # connections over the budget that are value to come back, where nobody idle can be closed
+ACCEPTS_PER_ROUND = (
+    12  # accepted in a round: who makes has_capacity for them closes in the next, and the tasks need tsuccessor turn
+)
 BUSY_RETRY_S = b"1"  # where the settings name no longest wait that clients heed
 
 
-def busy_advice(settings: Settings) -> list[bytes]:
+def retry_after_headers(settings: Settings) -> list[bytes]:
     """Retry-After for a client turned away at the door: the settings' longest heeded wait, as the module's own."""
     if settings.retry_after and settings.max_retry_after_ms > 0:
         return [b"Retry-After: %.3f" % (settings.max_retry_after_ms / 1000.0)]
     return [b"Retry-After: " + BUSY_RETRY_S]
 
 
-MAX_PATIENCE_MS = 600_000.0
-BUFFER = 20 * 1024  # a whole head and a little more; bodies are taken out as they come
+MAX_REQUEST_TIMEOUT_MS = 600_000.0
+RECEIVE_BUFFER_BYTES = 20 * 1024  # a whole head and a little more; bodies are taken out as they come
 
 # float() and int() take far more than the protocol has: 1_000, 1e3, nan, blanks, a sign.
-_WHOLE, _FIGURE = re.compile(rb"[0-9]{1,9}"), re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
-_PASSED_ON = re.compile(rb"[\x21-\x7e]{1,256}")
+_INTEGER, _DECIMAL = re.compile(rb"[0-9]{1,9}"), re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
+_FORWARDED_VALUE = re.compile(rb"[\x21-\x7e]{1,256}")
 
 
 def read_arrival(request: Request, names: Names, settings: Settings) -> JobArrived:
@@ -68,31 +70,31 @@
         (b"host", True),
         (b"idempotency-key", settings.classes[job_class].repeat is Repeat.KEYED),
     ):
-        if not _PASSED_ON.fullmatch(request.get(name)) and (needed or request.get(name)):
+        if not _FORWARDED_VALUE.fullmatch(request.get(name)) and (needed or request.get(name)):
             raise BadMessage(400, f"{name.decode()} is missing, too long or not plain text")
     job = request.get(b"request-id").decode()
-    patience = settings.classes[job_class].deadline_ms
+    timeout_ms = settings.classes[job_class].deadline_ms
     if b"request-timeout-ms" in request.fields:
-        stated = request.get(b"request-timeout-ms")
-        if not _WHOLE.fullmatch(stated) or not 0 < int(stated) <= MAX_PATIENCE_MS:
+        value = request.get(b"request-timeout-ms")
+        if not _INTEGER.fullmatch(value) or not 0 < int(value) <= MAX_REQUEST_TIMEOUT_MS:
             raise BadMessage(400, "bad Request-Timeout-Ms")
-        patience = float(stated)
+        timeout_ms = float(value)
     tenant = 0
-    if told := request.get(b"tenant"):
-        if told not in names.tenants and names.tenants:
+    if value := request.get(b"tenant"):
+        if value not in names.tenants and names.tenants:
             raise BadMessage(400, "no such tenant")
-        tenant = names.tenants.get(told, 0)
+        tenant = names.tenants.get(value, 0)
     info: dict[bytes, float] = {}
     for pair in request.get(b"request-info").split(b","):
         key, _, value = pair.strip().partition(b"=")
         if key in (b"slots", b"memory", b"hint"):
-            if key in info or not _FIGURE.fullmatch(value):
+            if key in info or not _DECIMAL.fullmatch(value):
                 raise BadMessage(400, "bad Request-Info")
             info[key] = float(value)
-    if told := request.get(b"work-hint"):
-        if not _FIGURE.fullmatch(told):
+    if value := request.get(b"work-hint"):
+        if not _DECIMAL.fullmatch(value):
             raise BadMessage(400, "bad Work-Hint")
-        info[b"hint"] = float(told) / 1_000.0  # the header is in microseconds
+        info[b"hint"] = float(value) / 1_000.0  # the header is in microseconds
     slots = info.get(b"slots", 1.0)
     if not 0 <= slots <= 1_024:
         raise BadMessage(400, "slots out of range")
@@ -104,7 +106,7 @@
         job,
         job_class,
         tenant,
-        patience,
+        timeout_ms,
         slots,
         info.get(b"memory", 0.0),
         info.get(b"hint", 0.0),
@@ -129,26 +131,26 @@
     def __init__(self, front: Front, sock: socket.socket, over_budget: bool, used: bool = False) -> None:
         """Take over an accepted socket, or one that has served already."""
         self.front, self.over_budget = front, over_budget
-        self.stream = Stream(front.scheduler, sock, ReceiveBuffer(most=BUFFER))
+        self.stream = Stream(front.scheduler, sock, ReceiveBuffer(most=RECEIVE_BUFFER_BYTES))
         self.side = ClientSide()
         self.query: Query | None = None
         self.answer: Answer | None = None
-        self.held = 0  # bytes of a body, until its query is answered
-        self.leave: Ending | None = None  # set by the front: close if nothing has come
-        self.out_of_turn = False  # it sent more before its answer than is kept: the rest is dropped
-        self.heard_ms = front.clock.now()  # when its last byte came, or the connection
+        self.held_body_bytes = 0  # bytes of a body, until its query is answered
+        self.close_reason: EndReason | None = None  # set by the front: close if nothing has come
+        self.sent_ahead = False  # it sent more before its answer than is kept: the rest is dropped
+        self.last_received_ms = front.clock.now()  # when its last byte came, or the connection
         self.accepted_ms, self.used = front.clock.now(), used  # used: a whole request has come
         if not used:
-            front.fresh[self] = None
+            front.before_first_request[self] = None
         self.task = front.scheduler.spawn(self.run)
 
     def run(self) -> None:
         """Serve the connection until one side ends it."""
-        ending = Ending.OUR_FAULT
+        end_reason = EndReason.OUR_FAULT
         try:
-            ending = self._serve()
+            end_reason = self._serve()
         except OSError:
-            ending = Ending.CLIENT_LEFT
+            end_reason = EndReason.CLIENT_LEFT
         except Exception:
             self.front.fault()
             with contextlib.suppress(OSError, AssertionError):
@@ -157,81 +159,81 @@
         finally:
             if self.query is not None:
                 self.front.dispatch.client_gone(self.query)
-            self._hold(0)
-            self.front.fresh.pop(self, None)
-            self.front.partial.pop(self, None)
-            if ending is Ending.PASSED_ON and self.front.heir is not None:
-                self.front.heir(self.stream.sock, self.used)
-            if ending is Ending.BAD_REQUEST:  # an idle link that was shed must give its descriptor back now
+            self._account_body(0)
+            self.front.before_first_request.pop(self, None)
+            self.front.partial_requests.pop(self, None)
+            if end_reason is EndReason.PASSED_ON and self.front.successor is not None:
+                self.front.successor(self.stream.sock, self.used)
+            if end_reason is EndReason.BAD_REQUEST:  # an idle link that was shed must give its descriptor back now
                 self.front.lingering[self] = None
-                self.stream.linger(self.front.clock.now() + LINGER_MS)
+                self.stream.linger(self.front.clock.now() + LINGER_TIMEOUT_MS)
             self.stream.close()
-            self.front.closed(self, ending)
+            self.front.closed(self, end_reason)
 
-    def _serve(self) -> Ending:
+    def _serve(self) -> EndReason:
         while True:
             try:
-                request, ending = self._request()
+                request, end_reason = self._read_request()
                 if request is None:
-                    return ending
-                parts = self._take(request)
+                    return end_reason
+                parts = self._handle_request(request)
             except BadMessage as fault:
                 self.front.counters.add(f"answer.bad-request.{fault.status}")
                 self.front.log("bad-request", status=fault.status, why=fault.reason)
                 # Closed even where the framing is sure: who sends such things must not hold a place.
-                advice = busy_advice(self.front.settings) if fault.status == 503 else []
+                advice = retry_after_headers(self.front.settings) if fault.status == 503 else []
                 self._write(self.side.answer(fault.status, fault.reason.encode(), advice, close=True))
-                return Ending.BAD_REQUEST
+                return EndReason.BAD_REQUEST
             if parts is None:
-                return Ending.CLIENT_LEFT
+                return EndReason.CLIENT_LEFT
             if not self._write(parts):
-                return Ending.CLIENT_SLOW
-            if self.side.stage is Stage.CLOSED and self.out_of_turn:
-                return Ending.BAD_REQUEST
+                return EndReason.CLIENT_SLOW
+            if self.side.stage is Stage.CLOSED and self.sent_ahead:
+                return EndReason.BAD_REQUEST
             if self.side.stage is Stage.CLOSED:
-                return Ending.STOPPING if self._closes() else Ending.CLIENT_ASKED
+                return EndReason.STOPPING if self._closes_after_answer() else EndReason.CLIENT_ASKED
 
-    def _hold(self, size: int) -> None:
+    def _account_body(self, size: int) -> None:
         """Count what is held of a body; over the budget of all together it is refused: memory must last."""
-        self.front.held += size - self.held
-        grown, self.held = size > self.held, size
-        if grown and self.front.held > self.front.most_held:
+        self.front.held_body_bytes += size - self.held_body_bytes
+        grown, self.held_body_bytes = size > self.held_body_bytes, size
+        if grown and self.front.held_body_bytes > self.front.max_held_bytes:
             self.side.reject()
             raise BadMessage(503, "no memory for the body")
 
-    def _closes(self) -> bool:
-        """Whether the answer ends the connection. With an heir it is passed on, which costs the client nothing."""
-        return (self.front.duty.sheds and self.front.heir is None) or self.over_budget or self.out_of_turn
+    def _closes_after_answer(self) -> bool:
+        """Whether the answer ends the connection. With an successor it is passed on, which costs the client nothing."""
+        return (self.front.duty.sheds and self.front.successor is None) or self.over_budget or self.sent_ahead
 
     def _write(self, parts: Sequence[Part]) -> bool:
-        return self.stream.write(parts, self.front.clock.now() + WRITE_MS)
+        return self.stream.write(parts, self.front.clock.now() + WRITE_TIMEOUT_MS)
 
-    def _request(self) -> tuple[Request | None, Ending]:
+    def _read_request(self) -> tuple[Request | None, EndReason]:
         """Read the next request, or say how the connection ended."""
         stream, front = self.stream, self.front
-        until, idle = front.clock.now() + IDLE_MS if self.used else self.accepted_ms + REQUEST_MS, True
+        until, idle = front.clock.now() + IDLE_TIMEOUT_MS if self.used else self.accepted_ms + REQUEST_TIMEOUT_MS, True
         while True:
             request = self.side.receive(stream.buffer)
-            self._hold(len(request.body) if request is not None else self.side.held)
+            self._account_body(len(request.body) if request is not None else self.side.held)
             if request is not None:
                 self.used = True
-                front.fresh.pop(self, None)
-                front.partial.pop(self, None)
-                return request, Ending.CLIENT_ASKED
+                front.before_first_request.pop(self, None)
+                front.partial_requests.pop(self, None)
+                return request, EndReason.CLIENT_ASKED
             if self.side.wants_continue:
                 self.side.wants_continue = False
                 self._write([b"HTTP/1.1 100 Continue\r\n\r\n"])
             if idle and self.side.stage is not Stage.IDLE:
-                idle, until = False, front.clock.now() + REQUEST_MS if self.used else until
-            if self.leave is Ending.SHED and not self.used and not idle:
-                return None, Ending.SHED
+                idle, until = False, front.clock.now() + REQUEST_TIMEOUT_MS if self.used else until
+            if self.close_reason is EndReason.SHED and not self.used and not idle:
+                return None, EndReason.SHED
             if self.side.stage is Stage.IDLE:
-                if front.heir is not None and not self.over_budget and not len(stream.buffer):
-                    return None, Ending.PASSED_ON  # what has come and is not read goes along
-                if self.leave is not None:
+                if front.successor is not None and not self.over_budget and not len(stream.buffer):
+                    return None, EndReason.PASSED_ON  # what has come and is not read goes along
+                if self.close_reason is not None:
                     if stream.is_quiet():
-                        return None, self.leave
-                    self.leave = None  # a request came first: it is served
+                        return None, self.close_reason
+                    self.close_reason = None  # a request came first: it is served
                     front.links.add(self)
                 if self.used:
                     front.idle[self] = None
@@ -239,41 +241,41 @@
             front.idle.pop(self, None)
             if why is Wake.TIMEOUT:
                 if idle:
-                    return None, Ending.IDLE_CLOSED
+                    return None, EndReason.IDLE_CLOSED
                 self.side.reject()
                 raise BadMessage(408, "request too slow")
             if why is Wake.READY:
                 try:
                     if stream.read() == 0:
-                        return None, Ending.CLIENT_LEFT
-                    self._heard()
+                        return None, EndReason.CLIENT_LEFT
+                    self._bytes_received()
                 except OverflowError:
                     self.side.reject()
                     raise BadMessage(413, "request too long") from None
 
-    def _heard(self) -> None:
+    def _bytes_received(self) -> None:
         """Bytes of a request came: among those who may have to give way it is now the last."""
-        front, self.heard_ms = self.front, self.front.clock.now()
+        front, self.last_received_ms = self.front, self.front.clock.now()
         if not self.used:
-            front.fresh.pop(self, None)
-            front.partial.pop(self, None)
-            front.partial[self] = None
+            front.before_first_request.pop(self, None)
+            front.partial_requests.pop(self, None)
+            front.partial_requests[self] = None
 
-    def _take(self, request: Request) -> list[bytes] | None:
+    def _handle_request(self, request: Request) -> list[bytes] | None:
         """Answer a request; None if the client left before its answer."""
         front = self.front
         if request.target == b"/-/ready" and request.method == b"GET":
             ready = front.duty.is_ready and front.admits()
             return self.side.answer(200 if ready else 503, b"", close=not ready)
         if (refused := front.refuses()) is not None:  # ahead of names: those that hold here may be old ones
-            return answer_parts(self.side, refused, self._closes())
+            return answer_parts(self.side, refused, self._closes_after_answer())
         arrival = read_arrival(request, front.names, front.settings)
         if (plan := front.plan_of(arrival.job_class, request.target)) is not UNLIMITED:
             arrival = arrival._replace(plan=plan)
         if self.over_budget:
             front.counters.add("answer.over-budget")
-            return self.side.answer(503, b"no room", busy_advice(front.settings), close=True)
-        passage = Passage(
+            return self.side.answer(503, b"no room", retry_after_headers(front.settings), close=True)
+        passage = ForwardedRequest(
             request.method,
             request.target,
             request.get(b"host"),
@@ -289,20 +291,20 @@
         if self.query is None:
             raise BadMessage(409, "Request-Id is in use")
         while self.answer is None:
-            why = self.stream.readable(self.query.deadline_ms + WRITE_MS)
+            why = self.stream.readable(self.query.deadline_ms + WRITE_TIMEOUT_MS)
             if why is Wake.TIMEOUT:  # the dispatch answers long before this
                 raise RuntimeError("query without an answer")
             if why is Wake.READY and self.answer is None:
                 try:
-                    if (self.stream.drop() if self.out_of_turn else self.stream.read()) == 0:
+                    if (self.stream.drop() if self.sent_ahead else self.stream.read()) == 0:
                         return None
                 except OverflowError:  # behind what it sends out of turn its leaving would go unseen
-                    self.out_of_turn = True
+                    self.sent_ahead = True
                     front.counters.add("client.out-of-turn")
                     front.log("bad-request", why="more than a request before the answer")
         self.query, answer = None, self.answer
-        self._hold(0)
-        return answer_parts(self.side, answer, self._closes())
+        self._account_body(0)
+        return answer_parts(self.side, answer, self._closes_after_answer())
 
     def _reply(self, answer: Answer) -> None:
         self.answer = answer
@@ -329,7 +331,7 @@
 
     plan_of: PlanOf = staticmethod(unlimited)
     admits: Callable[[], bool] = staticmethod(lambda: True)  # whether a query may be taken, by the tier's policy
-    refuses: Callable[[], Throttle | None] = staticmethod(lambda: None)  # what is told while none may be
+    refuses: Callable[[], Throttle | None] = staticmethod(lambda: None)  # what is value while none may be
 
     def __init__(
         self,
@@ -341,24 +343,24 @@
         names: Names,
         settings: Settings,
         listener: socket.socket,
-        most: int,
-        most_held: int,
+        max_links: int,
+        max_held_bytes: int,
     ) -> None:
         """Accept at this listener; at most `most` clients are served, a few more are turned away."""
         self.scheduler, self.clock, self.dispatch = scheduler, clock, dispatch
         self.counters, self.log, self.names, self.settings = counters, log, names, settings
-        self.most, self.most_held, self.held = most, most_held, 0
+        self.max_links, self.max_held_bytes, self.held_body_bytes = max_links, max_held_bytes, 0
         self.links: set[ClientLink] = set()
         self.idle: dict[ClientLink, None] = {}  # longest idle first
-        self.fresh: dict[ClientLink, None] = {}  # no whole request has come yet; longest here first
-        self.partial: dict[ClientLink, None] = {}  # part of a request has come; longest silent first
-        self.lingering: dict[ClientLink, None] = {}  # told what was bad, and not gone yet
+        self.before_first_request: dict[ClientLink, None] = {}  # no whole request has come yet; longest here first
+        self.partial_requests: dict[ClientLink, None] = {}  # part of a request has come; longest silent first
+        self.lingering: dict[ClientLink, None] = {}  # value what was bad, and not gone yet
         self.duty = Duty()
-        self._due: Timer | None = None  # of the next stage of duty
-        self.on_duty: Callable[[], None] = lambda: None  # told when the stage of duty changes
+        self._stage_timer: Timer | None = None  # of the next stage of duty
+        self.on_stage_change: Callable[[], None] = lambda: None  # value when the stage of duty changes
         self.stopped: bool = False
         self.on_stopped: Callable[[], None] = scheduler.stop
-        self.heir: Callable[[socket.socket, bool], None] | None = None  # takes connections with nothing under way
+        self.successor: Callable[[socket.socket, bool], None] | None = None  # takes connections with nothing under way
         self.listener = listener
         self.accepting = scheduler.spawn(self._accept)
 
@@ -371,73 +373,73 @@
             fd = self.listener.fileno() if until == math.inf else -1
             self.scheduler.wait(until, fd)
             try:
-                room = self._accept_all()
+                has_capacity = self._accept_all()
             except Exception:  # whatever one client does, the next ones are taken
                 self.fault()
-                room = False
-            until = math.inf if room else self.clock.now() + ACCEPT_AGAIN_MS
+                has_capacity = False
+            until = math.inf if has_capacity else self.clock.now() + ACCEPT_RETRY_MS
         if not self.duty.is_handed_over:
             self._accept_all(1 << 10)  # what the system has accepted for us is ours to answer
         self.scheduler.forget(self.listener.fileno())
         self.listener.close()
-        for link in [*self.idle, *self.fresh, *self.partial, *self.lingering]:
-            self._close_idle(link, Ending.STOPPING)
+        for link in [*self.idle, *self.before_first_request, *self.partial_requests, *self.lingering]:
+            self._close_idle(link, EndReason.STOPPING)
         self._check_stopped()
 
-    def _accept_all(self, most: int = AT_ONCE) -> bool:
-        """Accept some of those that wait; False if there is no room for more just now."""
-        return accept_some(self.listener, most, self._has_room, self._accepted, self._starved)
+    def _accept_all(self, most: int = ACCEPTS_PER_ROUND) -> bool:
+        """Accept some of those that wait; False if there is no has_capacity for more just now."""
+        return accept_some(self.listener, most, self._has_capacity, self._accepted, self._descriptors_exhausted)
 
-    def _has_room(self) -> bool:
+    def _has_capacity(self) -> bool:
         """Whether one more connection may be served: under the budget and its spare, or after one gave way."""
-        return len(self.links) < self.most + SPARE or self._shed()
+        return len(self.links) < self.max_links + OVERFLOW_LINKS or self._shed()
 
     def _accepted(self, sock: socket.socket) -> None:
         self.counters.add("client.accepted")
-        self._link(sock, False)
+        self._add_link(sock, False)
 
-    def _starved(self, number: int) -> None:
+    def _descriptors_exhausted(self, number: int) -> None:
         self.counters.add("front.no-descriptor")
         self.log("no-descriptor", clients=len(self.links), error=number)
         self._shed()
 
-    def _link(self, sock: socket.socket, used: bool) -> None:
-        over = len(self.links) >= self.most and not self._shed()  # only now: somebody did come
+    def _add_link(self, sock: socket.socket, used: bool) -> None:
+        over = len(self.links) >= self.max_links and not self._shed()  # only now: somebody did come
         link = ClientLink(self, sock, over, used)
         if self.duty.sheds:
-            link.leave = Ending.STOPPING
+            link.close_reason = EndReason.STOPPING
         self.links.add(link)
 
     def _shed(self) -> bool:
-        """Close the connection that is worth least: told off, silent since it came or amid a request, idle longest.
+        """Close the connection that is worth least: value off, silent since it came or amid a request, idle longest.
 
         Clients that come by hundreds and say nothing must not push out those that are served. One that has
         only just connected, or goes on writing, is left alone: its request would fail with the connection.
         """
         now = self.clock.now()
         link = next(iter(self.lingering), None)
-        for group, silent_ms in ((self.fresh, FRESH_MS), (self.partial, STALLED_MS)):
+        for group, silent_ms in ((self.before_first_request, NEW_LINK_GRACE_MS), (self.partial_requests, STALLED_MS)):
             first = next(iter(group), None)
-            if link is None and first is not None and now >= first.heard_ms + silent_ms:
+            if link is None and first is not None and now >= first.last_received_ms + silent_ms:
                 link = first
         link = link or next(iter(self.idle), None)
         if link is not None:
-            self._close_idle(link, Ending.SHED)
+            self._close_idle(link, EndReason.SHED)
             self.links.discard(link)  # it closes within this round
         return link is not None
 
-    def _close_idle(self, link: ClientLink, why: Ending) -> None:
-        for group in (self.idle, self.fresh, self.partial, self.lingering):
+    def _close_idle(self, link: ClientLink, why: EndReason) -> None:
+        for group in (self.idle, self.before_first_request, self.partial_requests, self.lingering):
             group.pop(link, None)
-        link.leave = why
+        link.close_reason = why
         link.task.wake()
 
-    def closed(self, link: ClientLink, ending: Ending) -> None:
+    def closed(self, link: ClientLink, end_reason: EndReason) -> None:
         """Forget a connection that is closed."""
         self.links.discard(link)
-        for group in (self.idle, self.fresh, self.partial, self.lingering):
+        for group in (self.idle, self.before_first_request, self.partial_requests, self.lingering):
             group.pop(link, None)
-        self.counters.add(f"client.{ending.value}")
+        self.counters.add(f"client.{end_reason.value}")
         self._check_stopped()
 
     def fault(self) -> None:
@@ -454,8 +456,8 @@
         # By the classes that are named now: one that has vanished binds nobody who sends SIGKILL.
         longest = max(self.settings.classes[number].deadline_ms for number in self.names.classes.values())
         if self.duty.stop(self.clock.now(), longest):
-            self._follow()
-            self.scheduler.timers.at(self.duty.end_by_ms, self.dispatch.end_all)
+            self._apply_stage()
+            self.scheduler.timers.at(self.duty.end_by_ms, self.dispatch.fail_open_queries)
             self.scheduler.timers.at(self.duty.gone_by_ms, self._end)
 
     @property
@@ -465,60 +467,60 @@
 
     def adopt(self, sock: socket.socket, used: bool) -> None:
         """Take a connection over from another process of this node: one with nothing under way."""
-        if self.takes and self._has_room():
+        if self.takes and self._has_capacity():
             self.counters.add("client.adopted")
-            self._link(sock, used)
+            self._add_link(sock, used)
         else:
             sock.close()
 
-    def hand_over(self, heir: Callable[[socket.socket, bool], None]) -> None:
-        """Take nobody in from now on; connections go to the heir as soon as nothing is under way on them."""
-        self.heir = heir
+    def hand_over(self, successor: Callable[[socket.socket, bool], None]) -> None:
+        """Take nobody in from now on; connections go to the successor as soon as nothing is under way on them."""
+        self.successor = successor
         self.duty.hand_over(self.clock.now())
-        self._follow()
-        while len(self.links) > self.most and self._shed():
+        self._apply_stage()
+        while len(self.links) > self.max_links and self._shed():
             pass
-        for link in [*self.idle, *self.fresh]:  # amid a request they are served here
+        for link in [*self.idle, *self.before_first_request]:  # amid a request they are served here
             link.task.wake()
         self.accepting.wake()
 
     def take_back(self) -> None:
-        """The heir is gone: take clients in again."""
-        self.heir = None
+        """The successor is gone: take clients in again."""
+        self.successor = None
         self.duty.take_back()
-        self._follow()
+        self._apply_stage()
         self.accepting.wake()
 
     def lame_duck(self, since_ms: float | None = None) -> None:
         """Send clients away, and go on running."""
         if self.duty.lame_duck(self.clock.now() if since_ms is None else since_ms):
-            self._follow()
+            self._apply_stage()
 
     def rejoin(self) -> bool:
         """End the drain; False if the node stops."""
         rejoins = self.duty.rejoin()
         if rejoins:
-            self._follow()
+            self._apply_stage()
         return rejoins
 
-    def _follow(self) -> None:
+    def _apply_stage(self) -> None:
         """Do what the stage of duty asks that holds now."""
         duty = self.duty
         self.log("duty", stage=duty.stage.value, open=self.dispatch.open, clients=len(self.links))
         self.dispatch.end_by_ms = duty.end_by_ms
-        if self._due is not None:
-            self._due.cancel()
-        self._due = self.scheduler.timers.at(duty.due_ms, self._tick) if duty.due_ms < math.inf else None
+        if self._stage_timer is not None:
+            self._stage_timer.cancel()
+        self._stage_timer = self.scheduler.timers.at(duty.due_ms, self._stage_due) if duty.due_ms < math.inf else None
         if duty.sheds:
-            for link in [*self.idle, *self.fresh, *self.partial, *self.lingering]:
-                self._close_idle(link, Ending.STOPPING)
+            for link in [*self.idle, *self.before_first_request, *self.partial_requests, *self.lingering]:
+                self._close_idle(link, EndReason.STOPPING)
         if duty.is_closing:
             self.accepting.wake()
-        self.on_duty()
+        self.on_stage_change()
 
-    def _tick(self) -> None:
+    def _stage_due(self) -> None:
         if self.duty.tick(self.clock.now()):
-            self._follow()
+            self._apply_stage()
 
     def _check_stopped(self) -> None:
         if self.duty.is_closing and self.listener.fileno() < 0 and not self.links:
--- a/pipitledge/node/server_link.py
+++ b/pipitledge/node/server_link.py
@@ -21,17 +21,17 @@
 from pipitledge.node.config import Address
 from pipitledge.node.counters import Counters, Log
 from pipitledge.node.dispatch import Dispatch, Execution
-from pipitledge.node.endings import Ending
-from pipitledge.node.reuse import Reuse
+from pipitledge.node.end_reasons import EndReason
+from pipitledge.node.reuse_history import ReuseHistory
 
-MAX_ANSWER, MAX_LINE = 4 * 1024 * 1024, 512 * 1024  # a result of 64 KiB may be escaped sixfold
-TAIL_MS = 250.0  # how long the end of an answer's framing may take after its last line
-PROBE_MS = 1_000.0
-IDLE_SHARE, IDLE_SPARE_MS = 0.8, 1_000.0  # of the workers' idle limit: we close first
+MAX_ANSWER_BYTES, MAX_LINE_BYTES = 4 * 1024 * 1024, 512 * 1024  # a result of 64 KiB may be escaped sixfold
+ANSWER_TAIL_TIMEOUT_MS = 250.0  # how long the end of an answer's framing may take after its last line
+PROBE_TIMEOUT_MS = 1_000.0
+IDLE_LIMIT_SHARE, IDLE_MARGIN_MS = 0.8, 1_000.0  # of the workers' idle limit: we close first
 
 
 @dataclass(frozen=True, slots=True)
-class Passage:
+class ForwardedRequest:
     """What is passed on to a worker unchanged."""
 
     method: bytes
@@ -41,12 +41,12 @@
     idempotency_key: bytes
     body: bytes
 
-    def parts(self, left_ms: float) -> list[Part]:
+    def parts(self, remaining_ms: float) -> list[Part]:
         """Give the request as parts for a gathered write."""
         fields = [(b"Request-Id", self.request_id)]
         if self.idempotency_key:
             fields.append((b"Idempotency-Key", self.idempotency_key))
-        fields.append((b"Request-Timeout-Ms", b"%d" % max(1, math.ceil(left_ms))))
+        fields.append((b"Request-Timeout-Ms", b"%d" % max(1, math.ceil(remaining_ms))))
         return request_parts(self.method, self.target, self.host, fields, self.body)
 
 
@@ -78,16 +78,16 @@
     return read_report(pairs)
 
 
-def ending_of_status(status: int, not_started: bool) -> Ending:
+def end_reason_of_status(status: int, not_started: bool) -> EndReason:
     """Read an answer that is not 200: only with Not-Started is it known that the job never ran."""
-    return Ending.HANDED_BACK if status in (503, 504) and not_started else Ending.WORKER_FAILED
+    return EndReason.HANDED_BACK if status in (503, 504) and not_started else EndReason.WORKER_FAILED
 
 
-STATES = {
-    "done": Ending.SERVED,
-    "failed": Ending.WORKER_FAILED,
-    "returned": Ending.HANDED_BACK,
-    "lost": Ending.JOB_LOST,
+END_REASON_BY_STATE = {
+    "done": EndReason.SERVED,
+    "failed": EndReason.WORKER_FAILED,
+    "returned": EndReason.HANDED_BACK,
+    "lost": EndReason.JOB_LOST,
 }
 
 
@@ -99,105 +99,113 @@
         self.pool, self.worker, self.address = pool, worker, address
         self.execution: Execution | None = execution
         self.stream: Stream | None = None
-        self.retired, self.heard_ms = False, -math.inf
+        self.retired, self.last_received_ms = False, -math.inf
         self.task: Task = pool.scheduler.spawn(self.run)
         execution.wake = self.task.wake
 
     def run(self) -> None:
-        """Dial, serve, wait for the next execution; whatever happens, what it holds gets an ending."""
-        ending = Ending.OUR_FAULT
+        """Dial, serve, wait for the next execution; whatever happens, what it holds gets an end_reason."""
+        end_reason = EndReason.OUR_FAULT
         try:
-            ending = self._dial()
-            while ending is Ending.SERVED and self.execution is not None:
-                ending = self._serve(self.execution)
-                if ending is Ending.SERVED:
-                    ending = self._idle()
+            end_reason = self._dial()
+            while end_reason is EndReason.SERVED and self.execution is not None:
+                end_reason = self._serve(self.execution)
+                if end_reason is EndReason.SERVED:
+                    end_reason = self._idle()
         except Exception:
-            ending = Ending.OUR_FAULT
+            end_reason = EndReason.OUR_FAULT
             self.pool.fault("server-link", self.worker)
         finally:
             self.pool.closed(self)
             if self.stream is not None:
                 self.stream.close()
             if self.execution is not None:
-                if ending in (Ending.OUT_OF_TIME, Ending.CALLED_OFF):
-                    self.pool.doubt(self.worker, self.execution.sent_ms)
-                self._end(ending)
+                if end_reason in (EndReason.OUT_OF_TIME, EndReason.CALLED_OFF):
+                    self.pool.close_silent_links(self.worker, self.execution.sent_ms)
+                self._end(end_reason)
 
-    def _end(self, ending: Ending, report: dict[str, float] | None = None, result: bytes = b"") -> None:
+    def _end(self, end_reason: EndReason, report: dict[str, float] | None = None, result: bytes = b"") -> None:
         execution, self.execution = self.execution, None
         if execution is not None:
             execution.wake = None
-            if ending not in (Ending.SERVED, Ending.HANDED_BACK):
+            if end_reason not in (EndReason.SERVED, EndReason.HANDED_BACK):
                 self.pool.log(
                     "execution",
-                    ending=ending.value,
+                    ending=end_reason.value,
                     worker=self.worker,
                     query=execution.query.arrival.job,
                     number=execution.number,
-                    noted=execution.noted,
+                    noted=execution.reported_running,
                     after_ms=round(self.pool.clock.now() - execution.sent_ms),
                 )
-            self.pool.dispatch.ended(execution, ending, report, result)
+            self.pool.dispatch.ended(execution, end_reason, report, result)
 
-    def _dial(self) -> Ending:
+    def _dial(self) -> EndReason:
         """Connect within the settings' limit. SERVED means: go on."""
         assert self.execution is not None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError:
-            return Ending.NO_SOCKET
+            return EndReason.NO_SOCKET
         self.stream = Stream(self.pool.scheduler, sock)
         self.pool.counters.add("link.dialled")
-        execution, most = self.execution, self.pool.clock.now() + self.pool.dial_timeout_ms
+        execution, dial_until = self.execution, self.pool.clock.now() + self.pool.dial_timeout_ms
         try:
-            if self.stream.dial(self.address, min(most, execution.deadline_ms), execution.is_off):
-                return Ending.SERVED
+            if self.stream.dial(self.address, min(dial_until, execution.deadline_ms), execution.is_cancelled):
+                return EndReason.SERVED
         except OSError as fault:
             if fault.errno in (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL):
-                return Ending.NO_SOCKET
-            return Ending.DIAL_REFUSED
+                return EndReason.NO_SOCKET
+            return EndReason.DIAL_REFUSED
         # One whose own time was over first says nothing of the worker.
-        return Ending.TAKEN_BACK if execution.is_off() or execution.deadline_ms < most else Ending.DIAL_TIMEOUT
+        return (
+            EndReason.TAKEN_BACK
+            if execution.is_cancelled() or execution.deadline_ms < dial_until
+            else EndReason.DIAL_TIMEOUT
+        )
 
-    def _serve(self, execution: Execution) -> Ending:
+    def _serve(self, execution: Execution) -> EndReason:
         """Send one execution and read its answer. SERVED means: the connection can be used again."""
         stream, clock = self.stream, self.pool.clock
         assert stream is not None
         # The one place before the first byte: while it was dialled, or since the link was taken from the pool, the
         # query may have ended, the worker been told to drain, or the connection been closed or used out of turn.
-        if execution.is_off() or clock.now() >= execution.deadline_ms:
-            self._end(Ending.TAKEN_BACK)
-            return Ending.SERVED
+        if execution.is_cancelled() or clock.now() >= execution.deadline_ms:
+            self._end(EndReason.TAKEN_BACK)
+            return EndReason.SERVED
         if not stream.is_quiet():
-            if self.heard_ms == -math.inf:  # on a new one, too: this worker takes connections and nothing else
-                return Ending.BROKEN_BEFORE_SENT
+            if self.last_received_ms == -math.inf:  # on a new one, too: this worker takes connections and nothing else
+                return EndReason.BROKEN_BEFORE_SENT
             self.execution = None
             self.pool.closed(self)
             self.pool.counters.add("link.stale")
             self.pool.start(execution)
-            return Ending.STALE
+            return EndReason.STALE
         # Up to the last byte written the worker can't have begun; from there on it may have. What is written
         # to a connection that the worker has closed unseen is therefore a reset, and never sent again here.
         try:
-            left = execution.deadline_ms - clock.now()
-            if not stream.write(execution.query.passage.parts(left), execution.deadline_ms, execution.is_off):
-                return Ending.TAKEN_BACK if execution.is_off() else Ending.BROKEN_BEFORE_SENT
+            remaining_ms = execution.deadline_ms - clock.now()
+            if not stream.write(
+                execution.query.passage.parts(remaining_ms), execution.deadline_ms, execution.is_cancelled
+            ):
+                return EndReason.TAKEN_BACK if execution.is_cancelled() else EndReason.BROKEN_BEFORE_SENT
         except OSError:
-            return Ending.BROKEN_BEFORE_SENT
-        idle = clock.now() - self.heard_ms  # infinite on a new link
-        side, tail_until = WorkerSide(MAX_ANSWER, MAX_LINE), math.inf
+            return EndReason.BROKEN_BEFORE_SENT
+        idle = clock.now() - self.last_received_ms  # infinite on a new link
+        side, tail_until = WorkerSide(MAX_ANSWER_BYTES, MAX_LINE_BYTES), math.inf
         while side.is_open:
             if execution.abandoned and self.execution is not None:
-                return Ending.CALLED_OFF
+                return EndReason.CALLED_OFF
             if tail_until == math.inf and (self.execution is None or side.status not in (0, 200)):
-                tail_until = clock.now() + TAIL_MS  # all that counts has come: the end has this long, whatever comes
+                tail_until = (
+                    clock.now() + ANSWER_TAIL_TIMEOUT_MS
+                )  # all that counts has come: the end has this long, whatever comes
             if clock.now() >= tail_until:
                 self.pool.counters.add("link.endless-answer")
-                self.pool.log("endless-answer", worker=self.worker, status=side.status, after_ms=TAIL_MS)
-                return Ending.BROKEN_ANSWER
+                self.pool.log("endless-answer", worker=self.worker, status=side.status, after_ms=ANSWER_TAIL_TIMEOUT_MS)
+                return EndReason.BROKEN_ANSWER
             if self.execution is not None and clock.now() >= execution.deadline_ms:  # however much it says
-                return Ending.OUT_OF_TIME
+                return EndReason.OUT_OF_TIME
             if (
                 stream.readable(min(execution.deadline_ms, tail_until) if self.execution else tail_until)
                 is not Wake.READY
@@ -205,65 +213,65 @@
                 continue
             try:
                 size = stream.read()
-                self._used_again(idle, broke=size == 0)
-                idle, self.heard_ms = math.inf, clock.now()
+                self._record_reuse(idle, broke=size == 0)
+                idle, self.last_received_ms = math.inf, clock.now()
                 lines = side.receive(stream.buffer) if size > 0 else side.end() if size == 0 else []
             except OSError:
-                self._used_again(idle, broke=True)
-                return Ending.BROKEN_AFTER_SENT
+                self._record_reuse(idle, broke=True)
+                return EndReason.BROKEN_AFTER_SENT
             except (BadMessage, OverflowError) as fault:
                 self.pool.counters.add("link.bad-answer")
                 self.pool.log("bad-answer", worker=self.worker, why=fault)
-                return Ending.BROKEN_ANSWER
-            if side.status == 200 and not self._lines(execution, lines):
-                return Ending.BROKEN_ANSWER
+                return EndReason.BROKEN_ANSWER
+            if side.status == 200 and not self._handle_lines(execution, lines):
+                return EndReason.BROKEN_ANSWER
             if side.status != 200 and side.is_whole:
-                self._end(ending_of_status(side.status, side.not_started), read_report_header(side.load))
+                self._end(end_reason_of_status(side.status, side.not_started), read_report_header(side.load))
         if self.execution is not None:
-            return Ending.BROKEN_ANSWER if side.is_whole else Ending.BROKEN_AFTER_SENT
-        return Ending.SERVED if side.is_whole and side.keeps_alive else Ending.IDLE_CLOSED
+            return EndReason.BROKEN_ANSWER if side.is_whole else EndReason.BROKEN_AFTER_SENT
+        return EndReason.SERVED if side.is_whole and side.keeps_alive else EndReason.IDLE_CLOSED
 
-    def _used_again(self, idle_ms: float, broke: bool) -> None:
+    def _record_reuse(self, idle_ms: float, broke: bool) -> None:
         if idle_ms < math.inf:
             self.pool.counters.add("link.reused-broken" if broke else "link.reused")
-            self.pool.reuse.note(self.pool.clock.now(), idle_ms, broke)
+            self.pool.reuse_history.record_use(self.pool.clock.now(), idle_ms, broke)
 
-    def _lines(self, execution: Execution, lines: list[bytes]) -> bool:
+    def _handle_lines(self, execution: Execution, lines: list[bytes]) -> bool:
         """Take the lines of a 200; False if one can't be read or is another request's."""
         query = execution.query
         for line in lines:
             if not line.strip() or self.execution is None:
                 continue
             try:
-                said: Any = json.loads(line)
-                state = said["state"]
-                if said.get("id", query.arrival.job) != query.arrival.job:
+                report: Any = json.loads(line)
+                state = report["state"]
+                if report.get("id", query.arrival.job) != query.arrival.job:
                     raise ValueError("another request's id")  # a second answer to the one before, say
-                if state in STATES:
-                    result = said.get("result", "") if state == "done" else ""
+                if state in END_REASON_BY_STATE:
+                    result = report.get("result", "") if state == "done" else ""
                     text = result if isinstance(result, str) else json.dumps(result)
-                    self._end(STATES[state], read_report(said.get("load")), text.encode())
+                    self._end(END_REASON_BY_STATE[state], read_report(report.get("load")), text.encode())
                 elif state == "running":
-                    self.pool.dispatch.noted(execution, max(1e-9, float(said.get("share", 0.0))))
+                    self.pool.dispatch.execution_progressed(execution, max(1e-9, float(report.get("share", 0.0))))
                 elif state == "started":
-                    self.pool.dispatch.noted(execution, 0.0)
+                    self.pool.dispatch.execution_progressed(execution, 0.0)
             except (ValueError, KeyError, TypeError, AttributeError) as fault:
                 self.pool.counters.add("link.bad-line")
                 self.pool.log("bad-line", worker=self.worker, why=fault, line=line[:80])
                 return False
         return True
 
-    def _idle(self) -> Ending:
+    def _idle(self) -> EndReason:
         """Wait in the pool. SERVED means: there is another execution."""
         stream = self.stream
         assert stream is not None
         if self.retired or len(stream.buffer):
-            return Ending.STALE
-        if self.heard_ms == -math.inf:  # it came up for one that was taken back
-            self.heard_ms = self.pool.clock.now()
+            return EndReason.STALE
+        if self.last_received_ms == -math.inf:  # it came up for one that was taken back
+            self.last_received_ms = self.pool.clock.now()
         self.pool.release(self)
         stream.readable(self.pool.clock.now() + self.pool.idle_ms)
-        return Ending.SERVED if self.execution is not None else Ending.IDLE_CLOSED
+        return EndReason.SERVED if self.execution is not None else EndReason.IDLE_CLOSED
 
 
 class Pool:
@@ -278,15 +286,15 @@
         log: Log,
         dial_timeout_ms: float,
         idle_ms: float,
-        most: int,
+        max_links: int,
     ) -> None:
         """Keep at most `most` links, and none idle for longer than the workers allow."""
         self.scheduler, self.clock, self.dispatch, self.counters, self.log = (scheduler, clock, dispatch, counters, log)
-        self.most = most
-        self.allow(dial_timeout_ms, idle_ms)
+        self.max_links = max_links
+        self.set_timeouts(dial_timeout_ms, idle_ms)
         self.addresses: dict[str, Address] = {}
         self.links: set[ServerLink] = set()
-        self.reuse = Reuse()
+        self.reuse_history = ReuseHistory()
         self.idle: dict[str, list[ServerLink]] = {}
 
     def start(self, execution: Execution) -> None:
@@ -294,7 +302,7 @@
         worker = execution.worker
         address = self.addresses.get(worker)
         if address is None:
-            self.dispatch.ended(execution, Ending.NO_ADDRESS)
+            self.dispatch.ended(execution, EndReason.NO_ADDRESS)
             return
         idle = self.idle.get(worker, [])
         while idle:
@@ -303,31 +311,31 @@
             if (
                 link.stream is not None
                 and link.address == address
-                and self.reuse.trusts(self.clock.now(), self.clock.now() - link.heard_ms)
+                and self.reuse_history.is_reusable(self.clock.now(), self.clock.now() - link.last_received_ms)
             ):
                 link.execution, execution.wake = execution, link.task.wake
                 link.task.wake()
                 return
             self.counters.add("link.stale")
             link.task.wake()
-        if len(self.links) >= self.most and not self._shed():
-            self.dispatch.ended(execution, Ending.NO_SOCKET)
+        if len(self.links) >= self.max_links and not self._close_one_idle():
+            self.dispatch.ended(execution, EndReason.NO_SOCKET)
             return
         self.links.add(ServerLink(self, worker, address, execution))
 
-    def allow(self, dial_timeout_ms: float, idle_ms: float) -> None:
+    def set_timeouts(self, dial_timeout_ms: float, idle_ms: float) -> None:
         """Take what the settings say of connections, for those that begin or come to be idle from now on."""
         self.dial_timeout_ms = dial_timeout_ms
-        self.idle_ms = max(idle_ms * 0.1, min(idle_ms * IDLE_SHARE, idle_ms - IDLE_SPARE_MS))
+        self.idle_ms = max(idle_ms * 0.1, min(idle_ms * IDLE_LIMIT_SHARE, idle_ms - IDLE_MARGIN_MS))
 
-    def limit(self, most: int) -> None:
+    def set_max_links(self, max_links: int) -> None:
         """Hold to another budget from now on; idle links beyond it are closed."""
-        self.most = most
-        for _ in range(len(self.links) - most):
-            if not self._shed():
+        self.max_links = max_links
+        for _ in range(len(self.links) - max_links):
+            if not self._close_one_idle():
                 break
 
-    def _shed(self) -> bool:
+    def _close_one_idle(self) -> bool:
         """Let go of one idle link, to have its descriptor for a new one."""
         for idle in self.idle.values():
             if idle:
@@ -339,14 +347,14 @@
         """Put a link back that can be used again."""
         self.idle.setdefault(link.worker, []).append(link)
 
-    def doubt(self, worker: str, since_ms: float) -> None:
-        """Close the idle links to a worker that have said nothing for as long as an execution that got none.
+    def close_silent_links(self, worker: str, since_ms: float) -> None:
+        """Close the idle links to a worker that have report nothing for as long as an execution that got none.
 
         A machine that is cut off leaves its connections open and silent: one after the other would take an
         execution that may have run, where a new connection that never comes up proves that it has not.
         """
         for link in self.idle.get(worker, [])[:]:
-            if link.heard_ms < since_ms:
+            if link.last_received_ms < since_ms:
                 self.idle[worker].remove(link)
                 link.task.wake()
 
@@ -368,7 +376,7 @@
         self.counters.add(f"fault.{where}")
         self.log("fault", where=where, worker=worker, trace=traceback.format_exc())
 
-    def moved(self, addresses: dict[str, Address]) -> None:
+    def set_addresses(self, addresses: dict[str, Address]) -> None:
         """Take over the list's addresses; idle links to workers that left it are closed."""
         self.addresses = addresses
         for worker in [worker for worker in self.idle if worker not in addresses]:
@@ -380,40 +388,40 @@
         self.scheduler.spawn(lambda: self._probe(worker))
 
     def _probe(self, worker: str) -> None:
-        began, report, ending, stream = self.clock.now(), None, Ending.OUR_FAULT, None
+        began, report, end_reason, stream = self.clock.now(), None, EndReason.OUR_FAULT, None
         try:
             address = self.addresses.get(worker)
             if address is None:
-                ending = Ending.NO_ADDRESS
+                end_reason = EndReason.NO_ADDRESS
                 return
             stream = Stream(self.scheduler, socket.socket(socket.AF_INET, socket.SOCK_STREAM))
-            ending = Ending.DIAL_TIMEOUT
+            end_reason = EndReason.DIAL_TIMEOUT
             if not stream.dial(address, began + self.dial_timeout_ms):
                 return
             host = f"{address[0]}:{address[1]}".encode()
-            ending, until = Ending.OUT_OF_TIME, began + PROBE_MS
+            end_reason, until = EndReason.OUT_OF_TIME, began + PROBE_TIMEOUT_MS
             request = request_parts(b"GET", b"/-/load", host, [(b"Connection", b"close")], b"")
             if not stream.write(request, until):
                 return
-            side, body = WorkerSide(MAX_LINE, MAX_LINE), list[bytes]()
+            side, body = WorkerSide(MAX_LINE_BYTES, MAX_LINE_BYTES), list[bytes]()
             while side.is_open:
                 if stream.readable(until) is Wake.TIMEOUT:
                     return
                 size = stream.read()
                 body += side.receive(stream.buffer) if size > 0 else side.end() if size == 0 else []
-            ending = (
-                Ending.BROKEN_AFTER_SENT
+            end_reason = (
+                EndReason.BROKEN_AFTER_SENT
                 if not side.is_whole
-                else (Ending.SERVED if side.status == 200 else ending_of_status(side.status, side.not_started))
+                else (EndReason.SERVED if side.status == 200 else end_reason_of_status(side.status, side.not_started))
             )
             report = read_report_body(b"".join(body)) or read_report_header(side.load)
         except OSError:
-            ending = Ending.DIAL_REFUSED if ending is Ending.DIAL_TIMEOUT else Ending.BROKEN_AFTER_SENT
+            end_reason = EndReason.DIAL_REFUSED if end_reason is EndReason.DIAL_TIMEOUT else EndReason.BROKEN_AFTER_SENT
         except (BadMessage, OverflowError):
-            ending = Ending.BROKEN_ANSWER
+            end_reason = EndReason.BROKEN_ANSWER
         except Exception:
             self.fault("probe", worker)
         finally:
             if stream is not None:
                 stream.close()
-            self.dispatch.probed(worker, ending, self.clock.now() - began, report)
+            self.dispatch.probe_ended(worker, end_reason, self.clock.now() - began, report)
--- a/pipitledge/upgrade/household.py
+++ b/pipitledge/upgrade/household.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from pipitledge.decision.interface import SettingsChanged
-from pipitledge.node.budget import bodies, budget
+from pipitledge.node.budget import budget, max_held_body_bytes
 from pipitledge.node.config import Config
 from pipitledge.node.console import Call
 from pipitledge.node.dispatch import Dispatch
@@ -58,9 +58,13 @@
                 told.peers_all,
                 self._membership(),
             )
-            self.peers.changed, self.peers.serves, front.on_duty = self._put_in_force, self._serves, self.peers.beat
+            self.peers.changed, self.peers.serves, front.on_stage_change = (
+                self._put_in_force,
+                self._serves,
+                self.peers.beat,
+            )
         succession.hand_over, succession.take_back = self._hand_over, self._take_back
-        succession.alone, succession.over = self._alone, dispatch.elsewhere.difference_update
+        succession.alone, succession.over = self._alone, dispatch.open_in_predecessor.difference_update
         succession.adopt, succession.do = front.adopt, self._do
 
     def adopt(self, told: Config) -> None:
@@ -72,7 +76,7 @@
         self._put_in_force()
         self.front.names, self.front.settings = names, told.settings
         self.group.adopt(names, not told.settings.must_ask, told.settings.drain_grace_ms)
-        self.pool.allow(told.dial_timeout_ms, told.idle_ms)
+        self.pool.set_timeouts(told.dial_timeout_ms, told.idle_ms)
         self.share_out()
         self.group.move(told.discovery)
 
@@ -112,7 +116,7 @@
         if (learned := inherited(estate.learned, self.told.names.numbers, self.dispatch.policy)) is not None:
             self.dispatch.events.append(learned)
         group.watch()  # at once: the module would ask within seconds, and news is owed sooner
-        self.dispatch.elsewhere.update(estate.open)
+        self.dispatch.open_in_predecessor.update(estate.open)
         if estate.lame_since is not None:
             self.front.lame_duck(estate.lame_since)
         self.succession.follow(claimed.sock)
@@ -121,9 +125,9 @@
     def share_out(self) -> None:
         """Use all of the limits alone, and half of them while another process of this node runs."""
         parts = 2 if self.succession.is_shared else 1
-        self.front.most, links = budget((self.told.sockets - self.reserved) // parts)
-        self.front.most_held = bodies(self.told.memory_mb // parts)
-        self.pool.limit(links)
+        self.front.max_links, links = budget((self.told.sockets - self.reserved) // parts)
+        self.front.max_held_bytes = max_held_body_bytes(self.told.memory_mb // parts)
+        self.pool.set_max_links(links)
 
     def _hand_over(self) -> tuple[Estate, int]:
         self.share_out()
@@ -154,7 +158,7 @@
         self.share_out()
 
     def _alone(self) -> None:
-        self.dispatch.elsewhere.clear()  # what the elder had is answered, or lost with it
+        self.dispatch.open_in_predecessor.clear()  # what the elder had is answered, or lost with it
         self.share_out()
 
     def _do(self, call: Call, source: Partner) -> str | None:
--- a/tests/net_helper.py
+++ b/tests/net_helper.py
@@ -23,7 +23,7 @@
 from pipitledge.node.duty import Duty
 from pipitledge.node.front import ClientLink, Front
 from pipitledge.node.host_group import HostGroup
-from pipitledge.node.server_link import Passage, Pool, ServerLink
+from pipitledge.node.server_link import ForwardedRequest, Pool, ServerLink
 
 DERANDOMISED = settings(derandomize=True, deadline=None, max_examples=100, database=None)
 NAMES = Names(
@@ -140,7 +140,7 @@
     def query(self, name: str, patience_ms: float = 5_000.0, **fields: Any) -> Any:
         from pipitledge.decision.interface import JobArrived
 
-        passage = Passage(b"POST", b"/menu-plan?x=1", b"app.svc", name.encode(), b"key", b"{body}")
+        passage = ForwardedRequest(b"POST", b"/menu-plan?x=1", b"app.svc", name.encode(), b"key", b"{body}")
         replies = self.answers.setdefault(name, [])
         arrival = JobArrived(name, patience_ms=patience_ms, **fields)
         return self.dispatch.take(arrival, passage, replies.append)
@@ -157,18 +157,18 @@
                 "log": self.log,
                 "names": NAMES,
                 "settings": SETTINGS,
-                "most": 3,
-                "most_held": 1 << 20,
-                "held": 0,
+                "max_links": 3,
+                "max_held_bytes": 1 << 20,
+                "held_body_bytes": 0,
                 "links": set(),
                 "idle": {},
-                "fresh": {},
-                "partial": {},
+                "before_first_request": {},
+                "partial_requests": {},
                 "lingering": {},
                 "duty": Duty(),
-                "_due": None,
-                "heir": None,
-                "on_duty": lambda: None,
+                "_stage_timer": None,
+                "successor": None,
+                "on_stage_change": lambda: None,
                 "on_stopped": lambda: None,
                 "stopped": False,
             }.items():
@@ -264,7 +264,7 @@
 
     def told(self, *rows: dict[str, object], whole: bool = False) -> None:
         """News of the list, as a watch has them; the round that hands them to the module has not run."""
-        self.group._take({"rev": 1, "targets": [*rows]}, Listing.FULL if whole else Listing.DELTA)
+        self.group._apply_list({"rev": 1, "targets": [*rows]}, Listing.FULL if whole else Listing.DELTA)
 
     def until(self, seen: Callable[[], object]) -> None:
         """Run rounds until it is seen; the wait is for the system's sockets alone."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,9 +14,9 @@
 from pipitledge.decision.interface import AttemptEnded, JobArrived, JobClass, Plan, Repeat, Result, Send, Settings
 from pipitledge.decision.policy import Policy
 from pipitledge.node.dispatch import Served
-from pipitledge.node.front import BUFFER
-from pipitledge.node.server_link import TAIL_MS
-from pipitledge.node.upkeep import ASKED_SILENT_MS, PUSHED_ANSWER_MS
+from pipitledge.node.front import RECEIVE_BUFFER_BYTES
+from pipitledge.node.server_link import ANSWER_TAIL_TIMEOUT_MS
+from pipitledge.node.watch_monitor import PULLED_SILENCE_TIMEOUT_MS, PUSHED_ANSWER_TIMEOUT_MS
 
 LEAVINGS = 200  # of each state
 
@@ -86,7 +86,7 @@
             worker = worker if number else stand.accept()
             stand.request(worker)
             worker.send(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
-            decided.until(lambda query=query: not query.out)  # type: ignore[misc]
+            decided.until(lambda query=query: not query.executions)  # type: ignore[misc]
         elif state != "held":
             link = decided.link()
             if state != "handed an idle link":  # whose task has not run: it is ready, the request unwritten
@@ -122,8 +122,8 @@
         far.send(b"POST /menu-plan HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\n\r\n" % name.encode())
         wires.until(lambda name=name: name in wires.dispatch.queries)  # type: ignore[misc]
         far.setblocking(True)
-        sent = far.send(bytes(8 * BUFFER))
-        assert sent > 2 * BUFFER
+        sent = far.send(bytes(8 * RECEIVE_BUFFER_BYTES))
+        assert sent > 2 * RECEIVE_BUFFER_BYTES
         if name == "leaves":
             far.close()
             wires.until(lambda: "leaves" not in wires.dispatch.queries)
@@ -295,14 +295,14 @@
     worker.send(head)
     link = wires.link()
     served = head.startswith(HEAD)
-    wires.until(lambda: link.execution is None if served else link.heard_ms == wires.time)
+    wires.until(lambda: link.execution is None if served else link.last_received_ms == wires.time)
     for _ in range(9):
-        wires.time += TAIL_MS / 10.0
+        wires.time += ANSWER_TAIL_TIMEOUT_MS / 10.0
         heard = wires.time
         worker.send(chunk(b" ") if b"chunked" in head else b" ")
-        wires.until(lambda heard=heard: link.heard_ms == heard)  # type: ignore[misc]
+        wires.until(lambda heard=heard: link.last_received_ms == heard)  # type: ignore[misc]
     assert wires.pool.links
-    wires.time += TAIL_MS / 10.0
+    wires.time += ANSWER_TAIL_TIMEOUT_MS / 10.0
     worker.send(chunk(b" ") if b"chunked" in head else b" ")
     wires.until(lambda: not wires.pool.links)
     assert results(wires) == [Result.OK if served else Result.RESET]
@@ -315,7 +315,7 @@
     worker = stand.accept()
     stand.request(worker)
     worker.send(HEAD)
-    wires.until(lambda: wires.link().heard_ms == wires.time)
+    wires.until(lambda: wires.link().last_received_ms == wires.time)
     wires.time += 999.0
     wires.until(lambda: results(wires) or not worker.send(line("running", share=0.5)))  # some in every round
     assert results(wires) == [Result.TIMEOUT] and not wires.pool.links
@@ -361,7 +361,7 @@
     wires.until(lambda: wires.group.version == 9)
     watch.send(chunk(two[40:] + b"\n\n"))
     wires.until(lambda: wires.group.version == 10)
-    assert wires.group.addresses.keys() == {"w0", "w1", "w2"} and wires.group._watching is not None
+    assert wires.group.addresses.keys() == {"w0", "w1", "w2"} and wires.group._watch_task is not None
 
 
 @pytest.mark.parametrize("dribble", [b'{"rev":9,', b" ", b'"', b"[[[["])
@@ -373,24 +373,24 @@
     watch.send(chunk(b'{"rev":8,"targets":[]}\n') + (chunk(b'{"targets":') if dribble in (b'"', b"[[[[") else b""))
     wires.until(lambda: wires.group.version == 8)
     began = wires.time
-    while wires.group._watching is not None:
-        assert wires.time - began < ASKED_SILENT_MS
+    while wires.group._watch_task is not None:
+        assert wires.time - began < PULLED_SILENCE_TIMEOUT_MS
         wires.time += 500.0
         watch.send(chunk(dribble if wires.time - began < 600.0 or dribble != b'{"rev":9,' else b"1"))
         wires.settle()
-    assert ended(wires) == "watch.watch-silent" and wires.time - began == ASKED_SILENT_MS
+    assert ended(wires) == "watch.watch-silent" and wires.time - began == PULLED_SILENCE_TIMEOUT_MS
 
 
 @pytest.mark.parametrize("pushed", [False, True])
 def test_a_watch_whose_head_never_ends_is_dead_after_the_time_for_its_first_answer(wires: Wires, pushed: bool) -> None:
     agent = Stand(wires)
-    wires.group.discovery, wires.group.upkeep.pushed = agent.address, pushed
+    wires.group.discovery, wires.group.watch_monitor.pushed = agent.address, pushed
     wires.group.watch()
     watch = agent.accept()
     wires.until(lambda: read(watch))
     watch.send(b"HTTP/1.1 200 OK\r\n")
-    began, most = wires.time, PUSHED_ANSWER_MS if pushed else ASKED_SILENT_MS
-    while wires.group._watching is not None:
+    began, most = wires.time, PUSHED_ANSWER_TIMEOUT_MS if pushed else PULLED_SILENCE_TIMEOUT_MS
+    while wires.group._watch_task is not None:
         assert wires.time - began < most
         wires.time += most / 5.0
         watch.send(b"X-More: y\r\n")
@@ -408,11 +408,11 @@
     wires, _, watch = watching
     good = json.dumps({"rev": 8, "all": True, "targets": [wires.row("w0", wires.worker("w0"))]}).encode()
     data = chunk(good + b"\n") + chunk(said)
-    while data and wires.group._watching is not None:
+    while data and wires.group._watch_task is not None:
         with contextlib.suppress(BlockingIOError):
             data = data[watch.send(data) :]
         wires.scheduler.turn(0.0)
-    wires.until(lambda: wires.group._watching is None)
+    wires.until(lambda: wires.group._watch_task is None)
     assert ended(wires) == "watch.watch-broken" and wires.group.version == 8 and wires.group.addresses.keys() == {"w0"}
     assert [event for event, _ in wires.logged].count("bad-list") == 1
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -23,7 +23,7 @@
     TimerFired,
 )
 from pipitledge.node.dispatch import Execution, Failure, Served
-from pipitledge.node.endings import Ending
+from pipitledge.node.end_reasons import EndReason
 
 
 class Held:
@@ -65,10 +65,10 @@
     rig.query("a")
     rig.settle()
     first, second = rig.held.started  # type: ignore[attr-defined]
-    rig.dispatch.ended(second, Ending.SERVED, {"x0": 1.0}, b"two")
-    rig.dispatch.ended(second, Ending.BROKEN_AFTER_SENT)  # an ending after the ending is none
+    rig.dispatch.ended(second, EndReason.SERVED, {"x0": 1.0}, b"two")
+    rig.dispatch.ended(second, EndReason.BROKEN_AFTER_SENT)  # an ending after the ending is none
     rig.settle()
-    rig.dispatch.ended(first, Ending.SERVED, None, b"one")
+    rig.dispatch.ended(first, EndReason.SERVED, None, b"one")
     rig.settle()
     assert rig.answers["a"] == [Served(b"two")] and not rig.dispatch.queries
     assert [(e.attempt, e.closed) for e in rig.script.of(AttemptEnded)] == [(1, True), (0, True)]
@@ -82,7 +82,7 @@
     rig.dispatch.client_gone(query)
     rig.settle()
     assert len(rig.script.of(ClientGone)) == 1 and "a" in rig.dispatch.queries
-    rig.dispatch.ended(rig.held.started[0], Ending.SERVED, None, b"late")  # type: ignore[attr-defined]
+    rig.dispatch.ended(rig.held.started[0], EndReason.SERVED, None, b"late")  # type: ignore[attr-defined]
     rig.settle()
     assert rig.answers["a"] == [] and not rig.dispatch.queries and rig.script.of(AttemptEnded)[0].closed
 
@@ -163,7 +163,7 @@
     for number in range(30):
         rig.query(f"q{number}", tenant=number % 2, patience_ms=400.0)
     rig.settle()
-    rig.dispatch.ended(rig.held.started[0], Ending.SERVED, None, b"ok")  # type: ignore[attr-defined]
+    rig.dispatch.ended(rig.held.started[0], EndReason.SERVED, None, b"ok")  # type: ignore[attr-defined]
     rig.settle(500.0)
     counts = rig.counters.counts
     assert (counts["tenant.0.taken"], counts["tenant.1.taken"], counts["tenant.1.throttle"]) == (15, 15, 15)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -19,7 +19,7 @@
 from pipitledge.http1.heads import BadMessage
 from pipitledge.node import front as front_module
 from pipitledge.node.dispatch import Served
-from pipitledge.node.front import SPARE, Front, read_arrival
+from pipitledge.node.front import OVERFLOW_LINKS, Front, read_arrival
 
 DERANDOMISED = hypothesis_settings(
     derandomize=True,
@@ -83,7 +83,7 @@
                 rig.settle(4_010.0)
             else:
                 action: Action = Refuse(job, 1_500.0) if step == "refuse" else Fail(job)
-                rig.dispatch._carry[type(action)](action)
+                rig.dispatch._handlers[type(action)](action)
             self.say(
                 b"",
                 "idle",
@@ -108,8 +108,11 @@
 
     def check(self) -> None:
         front = self.rig.front
-        idle, fresh = self.link in front.idle, self.link in front.fresh or self.link in front.partial
-        assert not (self.link in front.fresh and self.link in front.partial)
+        idle, fresh = (
+            self.link in front.idle,
+            self.link in front.before_first_request or self.link in front.partial_requests,
+        )
+        assert not (self.link in front.before_first_request and self.link in front.partial_requests)
         assert (idle, fresh) == (
             self.state == "idle" and self.link.used,
             self.state in ("idle", "half") and not self.link.used,
@@ -329,7 +332,7 @@
             rounds += 1
             assert rounds > before
     rig.settle()
-    assert rounds > (8 << 20) / (1 << 18) and len(link.stream.buffer.data) <= front_module.BUFFER
+    assert rounds > (8 << 20) / (1 << 18) and len(link.stream.buffer.data) <= front_module.RECEIVE_BUFFER_BYTES
     assert (read(far) or b"").startswith(b"HTTP/1.1 413") and read(far) is None
     assert link in rig.front.lingering
     far.close()
@@ -459,26 +462,26 @@
 
 def test_many_at_once_are_accepted_in_portions(rig: Rig) -> None:
     """Who makes room for them closes only in the next round: descriptors must last until then."""
-    front, listener, _ = listening(rig, 2 * front_module.AT_ONCE + 1)
-    front.most = 1_000
-    for left in (front_module.AT_ONCE + 1, 1, 0):
+    front, listener, _ = listening(rig, 2 * front_module.ACCEPTS_PER_ROUND + 1)
+    front.max_links = 1_000
+    for left in (front_module.ACCEPTS_PER_ROUND + 1, 1, 0):
         assert front._accept_all() and len(listener.queue) == left
 
 
 def test_bodies_over_the_budget_are_refused_and_the_others_stay(rig: Rig) -> None:
     one, two = rig.client()[0], rig.client()[0]
-    rig.front.most_held = 100_000
+    rig.front.max_held_bytes = 100_000
     rig.front.settings = replace(SETTINGS, retry_after=True, max_retry_after_ms=2_500.0)  # the module's own limit
     for far, name in ((one, "one"), (two, "two")):
         far.send(request(name, bytes(60_000)))
         for _ in range(4):
             rig.settle()
     assert b"503" in (answer := read(two) or b"") and b"Retry-After: 2.500\r\n" in answer and read(two) is None
-    assert rig.dispatch.open == 1 and rig.front.held == 60_000
+    assert rig.dispatch.open == 1 and rig.front.held_body_bytes == 60_000
     assert not any(link.side._parts for link in rig.front.lingering)  # what came of it is given up at once
     rig.dispatch._answer(rig.dispatch.queries["one"], Served(b"x"))
     rig.settle()
-    assert b"200" in (read(one) or b"") and rig.front.held == 0
+    assert b"200" in (read(one) or b"") and rig.front.held_body_bytes == 0
 
 
 def test_a_client_that_goes_on_writing_keeps_its_place_before_one_that_has_stalled(rig: Rig) -> None:
@@ -507,13 +510,13 @@
 def test_out_of_descriptors_it_sheds_an_idle_client_and_goes_on(rig: Rig) -> None:
     front, listener, fars = listening(rig, 1)
     assert front._accept_all()
-    rig.settle(front_module.FRESH_MS)
+    rig.settle(front_module.NEW_LINK_GRACE_MS)
     listener.queue.append(errno.EMFILE)
     assert not front._accept_all()
     rig.settle()
     assert read(fars[0]) is None and rig.counters.counts["front.no-descriptor"] == 1
     listener.queue.append(errno.ECONNABORTED)
-    assert front._accept_all() and SPARE > 0
+    assert front._accept_all() and OVERFLOW_LINKS > 0
 
 
 def test_a_fault_while_accepting_does_not_end_the_accepting(rig: Rig) -> None:
@@ -530,7 +533,7 @@
     listener.far.send(b"x")  # the listener looks readable
     rig.settle()
     assert rig.counters.counts["fault.front"] == 1 and not front.links
-    rig.settle(front_module.ACCEPT_AGAIN_MS)
+    rig.settle(front_module.ACCEPT_RETRY_MS)
     assert len(front.links) == 1
     rig.logged.clear()
 
--- a/tests/test_host_group.py
+++ b/tests/test_host_group.py
@@ -13,8 +13,8 @@
 
 from pipitledge.decision.interface import Listing, Send, State, Worker, WorkersChanged
 from pipitledge.node.host_group import BadRow, read_row
-from pipitledge.node.upkeep import AGAIN_MOST_MS, PUSHED_SILENT_MS, STALE_MS
-from pipitledge.node.upkeep import ASKED_SILENT_MS as SILENT_MS
+from pipitledge.node.watch_monitor import MAX_RETRY_DELAY_MS, PUSHED_SILENCE_TIMEOUT_MS, STALE_AFTER_MS
+from pipitledge.node.watch_monitor import PULLED_SILENCE_TIMEOUT_MS as SILENT_MS
 
 ROW = {
     "uid": "s-1",
@@ -134,7 +134,7 @@
             else:
                 row = ROW | {"uid": uid, "state": state, "boot_ms": rig.time if restarted else 0}
                 whole = what == "full"
-                rig.group._take({"rev": 1, "targets": [row]}, Listing.FULL if whole else Listing.DELTA)
+                rig.group._apply_list({"rev": 1, "targets": [row]}, Listing.FULL if whole else Listing.DELTA)
                 listed = ({} if whole else listed) | {uid: (state, rig.time if restarted else 0.0)}
                 if state == "terminated":
                     del listed[uid]
@@ -284,7 +284,7 @@
 @pytest.fixture(params=GRACES_MS)
 def pushed(rig: Rig, request: pytest.FixtureRequest) -> Rig:
     """A node whose list is pushed, with the list it knew before its start."""
-    rig.group.upkeep.pushed, rig.group.upkeep.grace_ms = True, request.param
+    rig.group.watch_monitor.pushed, rig.group.watch_monitor.grace_ms = True, request.param
     rig.group.start({"rev": 7, "all": True, "targets": [ROW]})
     rig.settle()
     return rig
@@ -313,13 +313,13 @@
         agent.close()
     elif end == "never answers":  # silent, and it drops the calls that come meanwhile
         for _ in range(8):
-            pushed.settle(PUSHED_SILENT_MS)
-            pushed.settle(AGAIN_MOST_MS)
+            pushed.settle(PUSHED_SILENCE_TIMEOUT_MS)
+            pushed.settle(MAX_RETRY_DELAY_MS)
     pushed.settle()
-    dialled, grace_ms = len(pushed.dialled), pushed.group.upkeep.grace_ms
+    dialled, grace_ms = len(pushed.dialled), pushed.group.watch_monitor.grace_ms
     if end == "silent":
-        pushed.settle(PUSHED_SILENT_MS)
-        pushed.settle(AGAIN_MOST_MS)
+        pushed.settle(PUSHED_SILENCE_TIMEOUT_MS)
+        pushed.settle(MAX_RETRY_DELAY_MS)
     else:  # whenever the agent is back: the call that it has dropped ends, and the next one comes, within the grace
         for _ in range(int(0.95 * grace_ms)):
             if len(pushed.dialled) == dialled:
@@ -335,17 +335,17 @@
 
 @pytest.mark.parametrize("is_pushed", [True, False])
 def test_a_list_that_nobody_keeps_up_is_said_once_and_so_is_its_end(rig: Rig, is_pushed: bool) -> None:
-    rig.group.upkeep.pushed, rig.next_refuses = is_pushed, True
+    rig.group.watch_monitor.pushed, rig.next_refuses = is_pushed, True
     rig.group.start({"rev": 7, "all": True, "targets": [ROW]})
     told = lambda word: [fields for event, fields in rig.logged if event == "list" and word in fields]  # noqa: E731
-    rig.settle(STALE_MS - 1.0)
+    rig.settle(STALE_AFTER_MS - 1.0)
     assert not told("stale")
     for _ in range(20):
         rig.settle(1_000.0)
     assert len(told("stale")) == rig.counters.counts["list.stale"] == 1 and not told("fresh")
     rig.next_refuses = False
     rig.group.watch()
-    rig.settle(AGAIN_MOST_MS)
+    rig.settle(MAX_RETRY_DELAY_MS)
     rig.dialled[-1].send(HEAD + chunk(b"\n"))
     rig.settle()
     assert len(told("fresh")) == 1
@@ -363,7 +363,7 @@
 def test_a_pushed_list_always_has_a_watch_or_a_timer_that_begins_one(steps: list[tuple[str, float]]) -> None:
     with pytest.MonkeyPatch.context() as patch:
         rig = Rig(patch)
-        rig.group.upkeep.pushed = True
+        rig.group.watch_monitor.pushed = True
         rig.group.start({"rev": 7, "all": True, "targets": []})
         for what, after in steps:
             rig.next_refuses = what == "refuse"
@@ -373,14 +373,14 @@
             elif what == "end" and rig.dialled:
                 rig.dialled[-1].close()
             rig.settle(after)
-            assert rig.group._watching is not None or (rig.timers.wait_ms() or 0.0) <= AGAIN_MOST_MS
+            assert rig.group._watch_task is not None or (rig.timers.wait_ms() or 0.0) <= MAX_RETRY_DELAY_MS
         rig.next_refuses = False
-        rig.settle(AGAIN_MOST_MS)
+        rig.settle(MAX_RETRY_DELAY_MS)
         before = len(rig.dialled)
-        assert rig.group._watching is not None
-        rig.settle(PUSHED_SILENT_MS)  # the agent says nothing: whatever it was, that watch is over
-        rig.settle(AGAIN_MOST_MS)
-        assert len(rig.dialled) > before and rig.group._watching is not None
+        assert rig.group._watch_task is not None
+        rig.settle(PUSHED_SILENCE_TIMEOUT_MS)  # the agent says nothing: whatever it was, that watch is over
+        rig.settle(MAX_RETRY_DELAY_MS)
+        assert len(rig.dialled) > before and rig.group._watch_task is not None
         rig.close()
         assert not rig.crashes
 
--- a/tests/test_ipp_print.py
+++ b/tests/test_ipp_print.py
@@ -16,7 +16,7 @@
 from pipitledge.ipp.endings import ENDINGS
 from pipitledge.ipp.model import JobState, Status
 from pipitledge.ipp.placement import Ask, Phase, Placement, Seen, Verdict
-from pipitledge.node.endings import RESULTS
+from pipitledge.node.end_reasons import RESULT_BY_END_REASON
 
 FAULTS = {
     fault: 0.02
@@ -107,7 +107,7 @@
 
 
 def test_only_proofs_become_outcomes_that_never_ran() -> None:
-    results = {verdict: RESULTS[ending] for verdict, ending in ENDINGS.items()}
+    results = {verdict: RESULT_BY_END_REASON[ending] for verdict, ending in ENDINGS.items()}
     assert set(results) == set(Verdict)
     assert {verdict for verdict, result in results.items() if result in NEVER_RAN} == {
         Verdict.TURNED_AWAY,
@@ -179,7 +179,7 @@
         printer.cancel(now, job.id)
     printer.advance(now + 1e6)
     assert placement.verdict is not None
-    result = RESULTS[ENDINGS[placement.verdict]]
+    result = RESULT_BY_END_REASON[ENDINGS[placement.verdict]]
     assert ledger["d"] == 0 if result in NEVER_RAN else ledger["d"] <= 1
     assert placement.verdict is not Verdict.PRINTED or ledger["d"] == 1
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -17,8 +17,8 @@
 from node_helper import READY, ROOT, STATED, Node, job, printing, told
 
 from pipitledge.node import config
-from pipitledge.node.budget import BASE, bodies, budget
-from pipitledge.node.front import AT_ONCE, SPARE
+from pipitledge.node.budget import RESERVED_DESCRIPTORS, budget, max_held_body_bytes
+from pipitledge.node.front import ACCEPTS_PER_ROUND, OVERFLOW_LINKS
 
 
 def test_the_configuration_is_read(tmp_path: pathlib.Path) -> None:
@@ -51,11 +51,14 @@
     """A third of all for clients' requests, and links for the widest list: 13 workers of 5 slots."""
     clients, links = budget(sockets)
     assert clients >= sockets / 3 and links >= 13 * 5
-    assert BASE + SPARE + clients + links <= sockets and BASE - AT_ONCE >= 10
+    assert (
+        RESERVED_DESCRIPTORS + OVERFLOW_LINKS + clients + links <= sockets
+        and RESERVED_DESCRIPTORS - ACCEPTS_PER_ROUND >= 10
+    )
 
 
 def test_bodies_fit_into_the_memory_that_is_left() -> None:
-    assert 2 << 20 <= bodies(32) <= 12 << 20 and 64 << 20 < bodies(192) < 172 << 20
+    assert 2 << 20 <= max_held_body_bytes(32) <= 12 << 20 and 64 << 20 < max_held_body_bytes(192) < 172 << 20
 
 
 def test_a_node_starts_answers_and_ends_on_sigterm(tmp_path: pathlib.Path) -> None:
--- a/tests/test_server_link.py
+++ b/tests/test_server_link.py
@@ -12,8 +12,8 @@
 
 from pipitledge.decision.interface import AttemptEnded, AttemptNote, Cancel, JobArrived, ProbeEnded, Result, Send
 from pipitledge.node.dispatch import Served
-from pipitledge.node.endings import RESULTS, Ending
-from pipitledge.node.reuse import Reuse
+from pipitledge.node.end_reasons import RESULT_BY_END_REASON, EndReason
+from pipitledge.node.reuse_history import ReuseHistory
 from pipitledge.node.server_link import read_report, read_report_header
 
 DERANDOMISED = hypothesis_settings(
@@ -205,7 +205,7 @@
 
 def test_a_worker_that_left_the_list_loses_its_idle_links(rig: Rig) -> None:
     serve(rig, "a")
-    rig.pool.moved({"w1": ("127.0.0.1", 11)})
+    rig.pool.set_addresses({"w1": ("127.0.0.1", 11)})
     rig.settle()
     assert not rig.pool.links and read(rig.dialled[0]) is not None and read(rig.dialled[0]) is None
 
@@ -224,24 +224,24 @@
 
 def test_idle_times_after_which_links_break_are_learned_and_tried_again_later() -> None:
     """Workers closed idle links unseen after 0.1 s, long before the stated 15 s: each was a reset."""
-    reuse = Reuse()
-    reuse.note(0.0, 150.0, broke=True)
-    assert reuse.trusts(0.0, 10_000.0)  # one is chance
+    reuse = ReuseHistory()
+    reuse.record_use(0.0, 150.0, broke=True)
+    assert reuse.is_reusable(0.0, 10_000.0)  # one is chance
     for _ in range(2):
-        reuse.note(0.0, 150.0, broke=True)
-        reuse.note(0.0, 40.0, broke=False)
-    assert not reuse.trusts(0.0, 150.0) and not reuse.trusts(0.0, 10_000.0) and reuse.trusts(0.0, 100.0)
-    assert not reuse.trusts(5_000.0, 150.0) and reuse.trusts(30_000.0, 150.0)
+        reuse.record_use(0.0, 150.0, broke=True)
+        reuse.record_use(0.0, 40.0, broke=False)
+    assert not reuse.is_reusable(0.0, 150.0) and not reuse.is_reusable(0.0, 10_000.0) and reuse.is_reusable(0.0, 100.0)
+    assert not reuse.is_reusable(5_000.0, 150.0) and reuse.is_reusable(30_000.0, 150.0)
     for _ in range(20):
-        reuse.note(0.0, 5.0, broke=True)  # no idle time explains these
-    assert reuse.trusts(0.0, 50.0)
+        reuse.record_use(0.0, 5.0, broke=True)  # no idle time explains these
+    assert reuse.is_reusable(0.0, 50.0)
 
 
 def test_links_that_break_now_and_then_are_used_on() -> None:
-    reuse = Reuse()
+    reuse = ReuseHistory()
     for number in range(400):
-        reuse.note(0.0, 100.0, broke=number % 20 == 0)
-        assert reuse.trusts(0.0, 100.0)
+        reuse.record_use(0.0, 100.0, broke=number % 20 == 0)
+        assert reuse.is_reusable(0.0, 100.0)
 
 
 def test_a_link_that_has_been_idle_too_long_is_closed_and_another_dialled(rig: Rig) -> None:
@@ -307,18 +307,18 @@
 
 def test_only_endings_before_the_last_byte_promise_that_the_job_never_ran() -> None:
     before = {
-        Ending.HANDED_BACK,
-        Ending.NO_ADDRESS,
-        Ending.NO_SOCKET,
-        Ending.DIAL_REFUSED,
-        Ending.DIAL_TIMEOUT,
-        Ending.BROKEN_BEFORE_SENT,
-        Ending.NEVER_SENT,
-        Ending.TAKEN_BACK,
+        EndReason.HANDED_BACK,
+        EndReason.NO_ADDRESS,
+        EndReason.NO_SOCKET,
+        EndReason.DIAL_REFUSED,
+        EndReason.DIAL_TIMEOUT,
+        EndReason.BROKEN_BEFORE_SENT,
+        EndReason.NEVER_SENT,
+        EndReason.TAKEN_BACK,
     }
     # PROVED_UNPRINTED is a printer's own word, asked for afterwards; tests/test_ipp_print.py holds it to the ledger.
-    proved = {Ending.PROVED_UNPRINTED}
-    assert {ending for ending, result in RESULTS.items() if result in NEVER_RAN} == before | proved
+    proved = {EndReason.PROVED_UNPRINTED}
+    assert {ending for ending, result in RESULT_BY_END_REASON.items() if result in NEVER_RAN} == before | proved
 
 
 def test_reports_come_under_the_modules_names() -> None:
