--- a/pipitledge/node/budget.py
+++ b/pipitledge/node/budget.py
@@ -1,26 +1,27 @@
-"""How the limits told are shared out: descriptors and memory, by one process or by two of the same node."""
+"""Division of the node's descriptors and memory, for one process or for the two of an upgrade."""
 
 from __future__ import annotations
 
 from pipitledge.node.console import PLACES
 from pipitledge.node.front import OVERFLOW_LINKS
 
-# Descriptors: standard streams, signals, listeners, watch and its successor, those of an upgrade, and some that
-# libraries open; callers at the second address.
+# Descriptors for: standard streams, signals, listeners, the discovery watch and its replacement, the sockets of an
+# upgrade, files that libraries open, and callers of the console address.
 RESERVED_DESCRIPTORS = 24 + PLACES
-# Of the rest, for server links: clients need a third of all for requests, and the widest list of workers
-# takes a connection for each of its slots.
+# Share of the remaining descriptors for server links: clients need a third of all descriptors for their requests, and
+# the widest worker list takes one connection for each of its slots.
 SERVER_LINK_SHARE = 0.4
-PROGRAM_MB, BODY_MEMORY_SHARE = 24, 0.5  # the program with all its connections; of the rest, for clients' bodies
+# Memory of the program with all its connections, and the share of the rest that clients' request bodies may take.
+PROGRAM_MB, BODY_MEMORY_SHARE = 24, 0.5
 
 
 def budget(sockets: int) -> tuple[int, int]:
-    """Share out the descriptors: those for clients and those for server links."""
+    """Split the descriptors into the number for client connections and the number for server links."""
     spare = max(16, sockets - RESERVED_DESCRIPTORS - OVERFLOW_LINKS)
     links = max(4, int(spare * SERVER_LINK_SHARE))
     return spare - links, links
 
 
 def max_held_body_bytes(memory_mb: int) -> int:
-    """Bytes of clients' bodies that may be held at one time."""
+    """Return the most bytes of request bodies that the process may hold in memory at one time."""
     return max(2 << 20, int((memory_mb - PROGRAM_MB) * BODY_MEMORY_SHARE) << 20)
--- a/pipitledge/node/dispatch.py
+++ b/pipitledge/node/dispatch.py
@@ -1,7 +1,7 @@
-"""Queries and executions between a front and the server links; the only caller of the module.
+"""Tracks queries and their executions between a front and the server links; the only caller of the policy.
 
-Knows no HTTP: a front hands in queries and gets answers, whatever protocol it speaks. Events gather during a
-round of the scheduler, are handed to the module at once, and its actions are carried out in order.
+Independent of the protocol: any front can submit queries and receive answers. Events are collected during a round of
+the scheduler and passed to the policy in one call, and the actions that it returns are carried out in order.
 """
 
 from __future__ import annotations
@@ -18,28 +18,29 @@
 from pipitledge.node.counters import Counters, Log
 from pipitledge.node.end_reasons import RESULT_BY_END_REASON, EndReason
 
-# An answer has to be out before the client gives up: executions are given up this much before its patience
-# ends, and what the module should have lost track of is failed this much after that.
+# An answer has to be sent before the client's timeout. So the deadline of a query is the client's timeout less a margin
+# of this length or this share of the timeout, whichever is less. A query that the policy has not ended OVERDUE_GRACE_MS
+# after its deadline is failed.
 ANSWER_MARGIN_MS, ANSWER_MARGIN_SHARE, OVERDUE_GRACE_MS = 10.0, 0.1, 15.0
 
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """A worker's result for this query."""
+    """The query succeeded with this result of a worker."""
 
     result: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Throttle:
-    """A refusal: trying again is harmless, and better after this time (0: no advice)."""
+    """The query was refused: a retry is safe, best after `retry_after_ms` (0: no advice)."""
 
     retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Failed, with no promise about its effect."""
+    """The query failed; the job may or may not have run."""
 
     reason: str
 
@@ -49,23 +50,23 @@
 
 @dataclass(slots=True, eq=False)
 class Query:
-    """One request of a client, until it is answered and its last execution has ended."""
+    """One request of a client; tracked until it is answered and its last execution has ended."""
 
     arrival: api.JobArrived
-    passage: Any  # what the server link passes on; opaque here
+    passage: Any  # what the server link forwards to the worker; opaque here
     reply: Callable[[Answer], None]
     deadline_ms: float = 0.0
-    max_executions: int = 1 << 30  # executions that the settings allowed when it came
-    execution_count: int = 0  # executions so far, MOOT ones included: their numbers follow the module's sends
+    max_executions: int = 1 << 30  # limit from the settings when the query arrived
+    execution_count: int = 0  # includes MOOT ones: the number of an execution is the index of the policy's Send
     executions: dict[int, Execution] = field(default_factory=dict)
     open: bool = True
     overdue_timer: Timer | None = None
-    policy_timer: Timer | None = None  # the module's for this query: of no use once the query is finished
+    policy_timer: Timer | None = None  # set by the policy for this query; cancelled when the query is closed
 
 
 @dataclass(slots=True, eq=False)
 class Execution:
-    """One attempt of a query at a worker. It ends exactly once."""
+    """One attempt to run a query on a worker. It ends exactly once."""
 
     query: Query
     number: int
@@ -73,41 +74,44 @@
     sent_ms: float
     deadline_ms: float
     ended: bool = False
-    abandoned: bool = False  # the module has called it off, whatever has become of it
-    withdrawn: bool = False  # the module wants it back if it has not gone out whole
-    reported_running: bool = False  # the worker has said that it runs
-    wake: Callable[[], None] | None = None  # its server link's
+    abandoned: bool = False  # cancelled by the policy, even if it was sent
+    withdrawn: bool = False  # cancelled by the policy unless it was sent completely
+    reported_running: bool = False  # the worker has reported that it runs
+    wake: Callable[[], None] | None = None  # wakes the task of its server link
 
     def is_cancelled(self) -> bool:
-        """Whether none of it may be written any more; asked up to its last byte, from which on it may have run."""
+        """Return whether no more of the request may be written.
+
+        Asked until the last byte is written; from then on the job may have run.
+        """
         return self.abandoned or self.withdrawn or not self.query.open
 
 
 class Links(Protocol):
-    """The side that carries out executions and probes."""
+    """Carries out executions and probes."""
 
     def start(self, execution: Execution) -> None:
-        """Carry it out; its end_reason is told to the dispatch."""
+        """Start an execution; its end is reported by Dispatch.ended."""
 
     def probe(self, worker: str) -> None:
-        """Ask a worker how it is; the result is told to the dispatch."""
+        """Request a load report from a worker; the result is reported by Dispatch.probe_ended."""
 
 
 class Dispatch:
-    """Feeds the module and does what it says."""
+    """Passes events to the policy and carries out its actions."""
 
     def __init__(self, clock: Clock, timers: Timers, policy: Policy, counters: Counters, log: Log) -> None:
-        """Wire up; links and watch are set before the first round."""
+        """Store the collaborators; `links` and `watch` must be set before the first round."""
         self.clock, self.timers, self.policy, self.counters, self.log = clock, timers, policy, counters, log
         self.links: Links
         self.watch: Callable[[], None] = lambda: None
         self.events: list[api.Event] = []
         self.queries: dict[str, Query] = {}
         self.open = 0
-        self.end_by_ms = math.inf  # of a node that stops: queries taken from then on end by this time
-        self.idle: Callable[[], None] = lambda: None  # told when a query was answered and none is left
-        self.open_in_predecessor: set[str] = set()  # ids that are still open in the process whose place we took
-        self.over: Callable[[list[str]], None] = lambda ids: None  # told of ids that are no longer open here
+        self.end_by_ms = math.inf  # latest deadline of queries that arrive while the node stops
+        self.idle: Callable[[], None] = lambda: None  # called when the last open query was answered
+        self.open_in_predecessor: set[str] = set()  # ids of queries still open in the process that this one replaces
+        self.over: Callable[[list[str]], None] = lambda ids: None  # called with the ids of finished queries
         self._finished: list[Query] = []
         self._handlers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send,
@@ -124,7 +128,7 @@
     # ---- from the front
 
     def take(self, arrival: api.JobArrived, passage: Any, reply: Callable[[Answer], None]) -> Query | None:
-        """Take a query; None if one of this id is still here, as the module would ignore the second."""
+        """Register a query; None if its id is still in use, as the policy would ignore the second query."""
         if arrival.job in self.queries or arrival.job in self.open_in_predecessor:
             return None
         query = Query(arrival, passage, reply, max_executions=self.policy.settings.max_attempts)
@@ -141,21 +145,24 @@
         return query
 
     def client_gone(self, query: Query) -> None:
-        """End the query, not those of its executions that have gone out."""
+        """Close the query of a client that disconnected; executions that were sent go on."""
         if query.open:
             self.counters.add("query.client-left")
             self._close(query)
             self.events.append(api.ClientGone(query.arrival.job))
 
     def fail_open_queries(self) -> None:
-        """Answer all that is open, as the process ends: one may have come before that was told, with patience."""
+        """Fail all open queries as the process ends.
+
+        Queries that arrived before the stop was announced may have a later deadline.
+        """
         for query in [query for query in self.queries.values() if query.open]:
             self.counters.add("query.cut-short")
             self._answer(query, Failure("stopping"))
             self.events.append(api.ClientGone(query.arrival.job))
 
     def _fail_overdue(self, query: Query) -> None:
-        """Fail a query that the module has not ended in time; it guards against any loss on the way there."""
+        """Fail a query that the policy has not ended in time; a guard against any lost event or action."""
         if query.open:
             self.log("overdue", query=query.arrival.job, sends=query.execution_count, out=len(query.executions))
             self.counters.add("query.overdue")
@@ -171,7 +178,7 @@
         report: Mapping[str, float] | None = None,
         result: bytes = b"",
     ) -> None:
-        """Take the one end_reason of an execution; the first that served answers the query."""
+        """Record the end of an execution; later calls are ignored. The first SERVED one answers the query."""
         if execution.ended:
             return
         execution.ended, query = True, execution.query
@@ -196,7 +203,7 @@
         )
 
     def execution_progressed(self, execution: Execution, fraction: float) -> None:
-        """An execution started, or came so far."""
+        """Report that a worker has started an execution, or has completed `fraction` of it."""
         if not execution.ended:
             execution.reported_running = True
             self.events.append(
@@ -206,19 +213,19 @@
     def probe_ended(
         self, worker: str, end_reason: EndReason, elapsed_ms: float, report: Mapping[str, float] | None = None
     ) -> None:
-        """Take the result of a probe."""
+        """Report the result of a probe to the policy."""
         self.counters.add(f"probe.{end_reason.value}")
         self.events.append(api.ProbeEnded(worker, RESULT_BY_END_REASON[end_reason], elapsed_ms, report))
 
     def workers_changed(self, change: api.WorkersChanged) -> None:
-        """Take news of the host group."""
+        """Report a change of the worker list to the policy."""
         self.counters.add(f"list.{change.listing.value}")
         self.events.append(change)
 
     # ---- the round
 
     def round(self) -> None:
-        """Hand the gathered events to the module and carry out what it says, until nothing is left."""
+        """Pass the collected events to the policy and carry out its actions, until there are no more events."""
         while self.events:
             events, self.events = self.events, []
             try:
@@ -232,7 +239,7 @@
                 except Exception:
                     self.counters.add("fault.action")
                     self.log("fault", action=action, trace=traceback.format_exc())
-        # Only now: within the round the module may still have named a query that had just ended.
+        # Removed only now: actions of the same round may refer to a query that has just ended.
         finished = [query.arrival.job for query in self._finished if not query.executions]
         for name in finished:
             self.queries.pop(name, None)
@@ -241,7 +248,7 @@
             self.over(finished)
 
     def _policy_failed(self, events: list[api.Event]) -> None:
-        """Lose no query with the module's exception: those it may not have seen are failed now."""
+        """Handle an exception of the policy: fail the queries that it may not have processed."""
         self.counters.add("fault.module")
         self.log("fault", where="module", trace=traceback.format_exc())
         for event in events:
@@ -251,11 +258,13 @@
                     self._answer(query, Failure("module fault"))
                     self.events.append(api.ClientGone(event.job))
 
-    # ---- the module's actions
+    # ---- actions of the policy
 
     def _send(self, action: api.Send) -> None:
         query, now = self.queries.get(action.job), self.clock.now()
-        if query is None:  # can't be while queries outlive the round; the module is told even so
+        if (
+            query is None
+        ):  # impossible while queries are kept until the end of the round; reported to the policy all the same
             self.log("fault", where="send", query=action.job)
             self.events.append(api.AttemptEnded(action.job, 0, action.worker, api.Result.MOOT, 0.0, True))
             return
@@ -308,9 +317,9 @@
     # ---- answers
 
     def _answer(self, query: Query, answer: Answer) -> None:
-        """Count who got what, and why a failure came: after an overload that is what operators ask.
+        """Answer a query, and count answers by kind and tenant and failures by reason, for analysis of an overload.
 
-        Tenants are the configuration's and reasons are this file's: the names of counters stay few.
+        Tenants come from the configuration and reasons from this file, so the number of counters is bounded.
         """
         kind = type(answer).__name__.lower()
         self.counters.add(f"answer.{kind}")
@@ -327,7 +336,7 @@
             if timer is not None:
                 timer.cancel()
         for execution in query.executions.values():
-            if execution.wake is not None:  # one that has not gone out yet ends with its query
+            if execution.wake is not None:  # an execution that was not sent yet ends with its query
                 execution.wake()
         if not query.executions:
             self._finished.append(query)
--- a/pipitledge/node/end_reasons.py
+++ b/pipitledge/node/end_reasons.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection, or an execution on one, can end; and what the module is told of it."""
+"""Reasons for which connections and executions end, and the result that the policy receives for each."""
 
 from __future__ import annotations
 
@@ -8,39 +8,41 @@
 
 
 class EndReason(Enum):
-    """One value for each way to end; the text is what logs and counters say."""
+    """Why a connection, an execution, a probe or a watch ended; the value is the word in logs and counters."""
 
-    # executions at a worker
+    # executions on a worker
     SERVED = "served"
-    WORKER_FAILED = "worker-failed"  # a line 'failed', a 500, or any status we don't know
-    HANDED_BACK = "handed-back"  # a line 'returned', or 503 or 504 with Not-Started
-    JOB_LOST = "job-lost"  # a line 'lost'
+    WORKER_FAILED = "worker-failed"  # the worker reported 'failed', or answered with 500 or an unknown status
+    HANDED_BACK = "handed-back"  # the worker reported 'returned', or answered with 503 or 504 and Not-Started
+    JOB_LOST = "job-lost"  # the worker reported 'lost'
     NO_ADDRESS = "no-address"
-    NO_SOCKET = "no-socket"  # no descriptor left for it
+    NO_SOCKET = "no-socket"  # no free descriptor for a connection
     DIAL_REFUSED = "dial-refused"
     DIAL_TIMEOUT = "dial-timeout"
     BROKEN_BEFORE_SENT = "broken-before-sent"  # before the request's last byte was written
     BROKEN_AFTER_SENT = "broken-after-sent"
-    BROKEN_ANSWER = "broken-answer"  # not HTTP, not JSON, or ended without a last line
+    BROKEN_ANSWER = "broken-answer"  # not HTTP, not JSON, or no final state before the end
     OUT_OF_TIME = "out-of-time"
     CALLED_OFF = "called-off"
-    NEVER_SENT = "never-sent"  # its query was over or had no attempt left
-    TAKEN_BACK = "taken-back"  # before its last byte was written: its query or its time was over, or the module said so
-    OUR_FAULT = "our-fault"  # an exception of ours
-    PROVED_UNPRINTED = "proved-unprinted"  # a printer took part of a job, and is known not to print it
-    MAY_HAVE_PRINTED = "may-have-printed"  # a printer has it, or part of it, and there is no proof
+    NEVER_SENT = "never-sent"  # the query had ended, or had used all its attempts
+    TAKEN_BACK = "taken-back"  # ended before the last byte of the request was written: cancelled, or out of time
+    OUR_FAULT = "our-fault"  # an exception in this process
+    PROVED_UNPRINTED = "proved-unprinted"  # a printer took part of the job, and is known not to print it
+    MAY_HAVE_PRINTED = (
+        "may-have-printed"  # a printer has all or part of the job, and nothing proves that it is not printed
+    )
     # idle links, probes
     IDLE_CLOSED = "idle-closed"
     STALE = "stale"
-    # clients
+    # client connections
     CLIENT_LEFT = "client-left"
-    CLIENT_ASKED = "client-asked"  # Connection: close
+    CLIENT_ASKED = "client-asked"  # the request had Connection: close
     CLIENT_SLOW = "client-slow"
     BAD_REQUEST = "bad-request"
     SHED = "shed"
     STOPPING = "stopping"
-    PASSED_ON = "passed-on"  # to the process that takes our place, with nothing under way
-    # the watch on discovery
+    PASSED_ON = "passed-on"  # handed over to this node's new process, with no request in progress
+    # the watch on the worker list of discovery
     WATCH_REFUSED = "watch-refused"
     WATCH_ENDED = "watch-ended"
     WATCH_SILENT = "watch-silent"
@@ -48,16 +50,16 @@
     WATCH_REPLACED = "watch-replaced"
 
 
-# The one place where an execution's ending becomes the module's outcome. FULL, CONNECT_FAILED and MOOT
-# promise that the job never ran, so only endings before the request's last byte may map to them, or those for
-# which the worker itself has given the proof since.
+# Result that the policy receives for each reason; nothing else maps reasons to results. FULL, CONNECT_FAILED and MOOT
+# promise that the job never ran. So only reasons that apply before the request's last byte was written may map to them,
+# or reasons for which the worker itself has proved that the job did not run.
 RESULT_BY_END_REASON = {
     EndReason.SERVED: Result.OK,
     EndReason.WORKER_FAILED: Result.ERROR,
     EndReason.HANDED_BACK: Result.FULL,
     EndReason.JOB_LOST: Result.RESET,
     EndReason.NO_ADDRESS: Result.CONNECT_FAILED,
-    EndReason.NO_SOCKET: Result.FULL,  # ours to run out of, and no failure of the worker
+    EndReason.NO_SOCKET: Result.FULL,  # this process lacks descriptors; the worker has not failed
     EndReason.DIAL_REFUSED: Result.CONNECT_FAILED,
     EndReason.DIAL_TIMEOUT: Result.CONNECT_FAILED,
     EndReason.BROKEN_BEFORE_SENT: Result.CONNECT_FAILED,
--- a/pipitledge/node/front.py
+++ b/pipitledge/node/front.py
@@ -1,6 +1,6 @@
-"""The HTTP front: clients' connections, each with its task, and the listener that takes them in.
+"""The HTTP front: client connections, each with its own task, and the listener that accepts them.
 
-Kept apart from the decisions, so that a front for another protocol can hand its queries to the same dispatch.
+Separate from the dispatch, so that a front for another protocol can submit its queries to the same dispatch.
 """
 
 from __future__ import annotations
@@ -26,45 +26,44 @@
 from pipitledge.node.plan_file import PlanOf, unlimited
 from pipitledge.node.server_link import ForwardedRequest
 
-IDLE_TIMEOUT_MS = 120_000.0  # a connection that has served may stand idle for so long
-# From accepting a connection to its first whole request, and on a used one from a request's first byte to its
-# last, however the bytes come: clients that say nothing or half a request are to be rid of within 3 s.
+IDLE_TIMEOUT_MS = 120_000.0  # idle limit of a connection that has served a request
+# Limit from accepting a connection to the end of its first request, and for later requests from the first byte to the
+# last. Clients that send nothing or part of a request have to be disconnected within 3 s.
 REQUEST_TIMEOUT_MS = 2_500.0
-# When places are short, those give way first who have sent nothing for so long: no byte yet, part of a request.
+# At the connection limit, clients silent for this long are closed first: without a byte sent, within a request.
 NEW_LINK_GRACE_MS, STALLED_MS = 250.0, 700.0
 WRITE_TIMEOUT_MS, LINGER_TIMEOUT_MS = 10_000.0, 2_000.0
-ACCEPT_RETRY_MS = 20.0  # without a descriptor to spare
-OVERFLOW_LINKS = 16  # connections over the budget that are value to come back, where nobody idle can be closed
-ACCEPTS_PER_ROUND = (
-    12  # accepted in a round: who makes has_capacity for them closes in the next, and the tasks need tsuccessor turn
-)
-BUSY_RETRY_S = b"1"  # where the settings name no longest wait that clients heed
+ACCEPT_RETRY_MS = 20.0  # delay after accepting failed for lack of a descriptor
+OVERFLOW_LINKS = 16  # accepted over the limit, and answered with 503, when no idle connection can be closed
+# Connections that are closed to make room for new ones close only in the next round, and the tasks need their turn.
+ACCEPTS_PER_ROUND = 12
+BUSY_RETRY_S = b"1"  # if the settings have no longest wait that clients observe
 
 
 def retry_after_headers(settings: Settings) -> list[bytes]:
-    """Retry-After for a client turned away at the door: the settings' longest heeded wait, as the module's own."""
+    """Return the Retry-After header for a client refused by the front: the longest wait that clients observe."""
     if settings.retry_after and settings.max_retry_after_ms > 0:
         return [b"Retry-After: %.3f" % (settings.max_retry_after_ms / 1000.0)]
     return [b"Retry-After: " + BUSY_RETRY_S]
 
 
 MAX_REQUEST_TIMEOUT_MS = 600_000.0
-RECEIVE_BUFFER_BYTES = 20 * 1024  # a whole head and a little more; bodies are taken out as they come
+RECEIVE_BUFFER_BYTES = 20 * 1024  # a little more than the largest head; body bytes are moved out as they arrive
 
-# float() and int() take far more than the protocol has: 1_000, 1e3, nan, blanks, a sign.
+# float() and int() accept more than the protocol does: 1_000, 1e3, nan, blanks, a sign.
 _INTEGER, _DECIMAL = re.compile(rb"[0-9]{1,9}"), re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 _FORWARDED_VALUE = re.compile(rb"[\x21-\x7e]{1,256}")
 
 
 def read_arrival(request: Request, names: Names, settings: Settings) -> JobArrived:
-    """Read a job from its request; BadMessage where it is not one. Defaults: see the README."""
+    """Read a job from its request; BadMessage if the request is not valid. Defaults: see the README."""
     name = request.target.split(b"?", 1)[0].split(b"/")[1] if request.target.startswith(b"/") else b""
     job_class = names.classes.get(name)
     if job_class is None:
         raise BadMessage(404, "no such class")
     if request.method != b"POST":
         raise BadMessage(405, "jobs come by POST")
-    # What is passed on to workers: present where it must be, and of visible characters only.
+    # Values forwarded to workers: present if required, and of visible characters only.
     for name, needed in (
         (b"request-id", True),
         (b"host", True),
@@ -116,7 +115,7 @@
 
 
 def answer_parts(side: ClientSide, answer: Answer, close: bool) -> list[bytes]:
-    """Put an answer of the dispatch into HTTP."""
+    """Return an answer of the dispatch as the parts of an HTTP response."""
     if isinstance(answer, Served):
         return side.answer(200, answer.result, close=close)
     if isinstance(answer, Failure):
@@ -126,26 +125,26 @@
 
 
 class ClientLink:
-    """One client's connection; its task reads a request, hands in the query and writes the answer."""
+    """One client connection; its task reads a request, submits the query and writes the answer."""
 
     def __init__(self, front: Front, sock: socket.socket, over_budget: bool, used: bool = False) -> None:
-        """Take over an accepted socket, or one that has served already."""
+        """Start the task for an accepted socket; `used`: it has already served a request, in another process."""
         self.front, self.over_budget = front, over_budget
         self.stream = Stream(front.scheduler, sock, ReceiveBuffer(most=RECEIVE_BUFFER_BYTES))
         self.side = ClientSide()
         self.query: Query | None = None
         self.answer: Answer | None = None
-        self.held_body_bytes = 0  # bytes of a body, until its query is answered
-        self.close_reason: EndReason | None = None  # set by the front: close if nothing has come
-        self.sent_ahead = False  # it sent more before its answer than is kept: the rest is dropped
-        self.last_received_ms = front.clock.now()  # when its last byte came, or the connection
-        self.accepted_ms, self.used = front.clock.now(), used  # used: a whole request has come
+        self.held_body_bytes = 0  # bytes of the current request body, until its query is answered
+        self.close_reason: EndReason | None = None  # set by the front: close unless a request has arrived
+        self.sent_ahead = False  # the client overfilled the buffer before its answer: the rest is dropped
+        self.last_received_ms = front.clock.now()  # last byte, or the accept
+        self.accepted_ms, self.used = front.clock.now(), used  # used: a complete request has been received
         if not used:
             front.before_first_request[self] = None
         self.task = front.scheduler.spawn(self.run)
 
     def run(self) -> None:
-        """Serve the connection until one side ends it."""
+        """Serve requests until either side ends the connection."""
         end_reason = EndReason.OUR_FAULT
         try:
             end_reason = self._serve()
@@ -164,7 +163,9 @@
             self.front.partial_requests.pop(self, None)
             if end_reason is EndReason.PASSED_ON and self.front.successor is not None:
                 self.front.successor(self.stream.sock, self.used)
-            if end_reason is EndReason.BAD_REQUEST:  # an idle link that was shed must give its descriptor back now
+            if (
+                end_reason is EndReason.BAD_REQUEST
+            ):  # only then: an idle connection that is shed must free its descriptor at once
                 self.front.lingering[self] = None
                 self.stream.linger(self.front.clock.now() + LINGER_TIMEOUT_MS)
             self.stream.close()
@@ -180,7 +181,7 @@
             except BadMessage as fault:
                 self.front.counters.add(f"answer.bad-request.{fault.status}")
                 self.front.log("bad-request", status=fault.status, why=fault.reason)
-                # Closed even where the framing is sure: who sends such things must not hold a place.
+                # Closed even if the framing is intact: a client that sends bad requests must not occupy a connection.
                 advice = retry_after_headers(self.front.settings) if fault.status == 503 else []
                 self._write(self.side.answer(fault.status, fault.reason.encode(), advice, close=True))
                 return EndReason.BAD_REQUEST
@@ -194,7 +195,7 @@
                 return EndReason.STOPPING if self._closes_after_answer() else EndReason.CLIENT_ASKED
 
     def _account_body(self, size: int) -> None:
-        """Count what is held of a body; over the budget of all together it is refused: memory must last."""
+        """Update the count of body bytes held; a request that takes the total over the memory budget gets 503."""
         self.front.held_body_bytes += size - self.held_body_bytes
         grown, self.held_body_bytes = size > self.held_body_bytes, size
         if grown and self.front.held_body_bytes > self.front.max_held_bytes:
@@ -202,14 +203,14 @@
             raise BadMessage(503, "no memory for the body")
 
     def _closes_after_answer(self) -> bool:
-        """Whether the answer ends the connection. With an successor it is passed on, which costs the client nothing."""
+        """Return whether to close after the answer. With a successor process the connection is handed over instead."""
         return (self.front.duty.sheds and self.front.successor is None) or self.over_budget or self.sent_ahead
 
     def _write(self, parts: Sequence[Part]) -> bool:
         return self.stream.write(parts, self.front.clock.now() + WRITE_TIMEOUT_MS)
 
     def _read_request(self) -> tuple[Request | None, EndReason]:
-        """Read the next request, or say how the connection ended."""
+        """Read the next request, or return None and why the connection ended."""
         stream, front = self.stream, self.front
         until, idle = front.clock.now() + IDLE_TIMEOUT_MS if self.used else self.accepted_ms + REQUEST_TIMEOUT_MS, True
         while True:
@@ -229,11 +230,11 @@
                 return None, EndReason.SHED
             if self.side.stage is Stage.IDLE:
                 if front.successor is not None and not self.over_budget and not len(stream.buffer):
-                    return None, EndReason.PASSED_ON  # what has come and is not read goes along
+                    return None, EndReason.PASSED_ON  # unread bytes in the socket go with it
                 if self.close_reason is not None:
                     if stream.is_quiet():
                         return None, self.close_reason
-                    self.close_reason = None  # a request came first: it is served
+                    self.close_reason = None  # a request arrived first, and is served
                     front.links.add(self)
                 if self.used:
                     front.idle[self] = None
@@ -254,7 +255,7 @@
                     raise BadMessage(413, "request too long") from None
 
     def _bytes_received(self) -> None:
-        """Bytes of a request came: among those who may have to give way it is now the last."""
+        """Record received bytes; the connection becomes the last in line to be shed for a stalled request."""
         front, self.last_received_ms = self.front, self.front.clock.now()
         if not self.used:
             front.before_first_request.pop(self, None)
@@ -262,12 +263,14 @@
             front.partial_requests[self] = None
 
     def _handle_request(self, request: Request) -> list[bytes] | None:
-        """Answer a request; None if the client left before its answer."""
+        """Handle a request and return its answer; None if the client disconnected before it."""
         front = self.front
         if request.target == b"/-/ready" and request.method == b"GET":
             ready = front.duty.is_ready and front.admits()
             return self.side.answer(200 if ready else 503, b"", close=not ready)
-        if (refused := front.refuses()) is not None:  # ahead of names: those that hold here may be old ones
+        if (
+            refused := front.refuses()
+        ) is not None:  # before names are looked up, as the configuration here may be outdated
             return answer_parts(self.side, refused, self._closes_after_answer())
         arrival = read_arrival(request, front.names, front.settings)
         if (plan := front.plan_of(arrival.job_class, request.target)) is not UNLIMITED:
@@ -283,7 +286,7 @@
             request.get(b"idempotency-key"),
             request.body,
         )
-        if self.stream.has_ended():  # it left while its request waited to be read: nothing is sent on for it
+        if self.stream.has_ended():  # the client left before its request was read: nothing is forwarded
             front.counters.add("client.left-unread")
             return None
         self.answer = None
@@ -292,13 +295,13 @@
             raise BadMessage(409, "Request-Id is in use")
         while self.answer is None:
             why = self.stream.readable(self.query.deadline_ms + WRITE_TIMEOUT_MS)
-            if why is Wake.TIMEOUT:  # the dispatch answers long before this
+            if why is Wake.TIMEOUT:  # the dispatch always answers earlier
                 raise RuntimeError("query without an answer")
             if why is Wake.READY and self.answer is None:
                 try:
                     if (self.stream.drop() if self.sent_ahead else self.stream.read()) == 0:
                         return None
-                except OverflowError:  # behind what it sends out of turn its leaving would go unseen
+                except OverflowError:  # a full buffer would hide the end of the connection behind it
                     self.sent_ahead = True
                     front.counters.add("client.out-of-turn")
                     front.log("bad-request", why="more than a request before the answer")
@@ -314,8 +317,8 @@
 def listen_at(address: Address) -> socket.socket:
     """Open the clients' listening socket.
 
-    A second process of this node gets this one passed. SO_REUSEPORT is for one whose elder does not answer: it
-    can serve all the same, though what waits at the elder's listener is lost when that closes.
+    In an upgrade the new process of the node receives this socket from the old one. SO_REUSEPORT lets the new process
+    serve even if the old one does not answer; connections waiting at the old listener are lost when that closes.
     """
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -327,11 +330,11 @@
 
 
 class Front:
-    """Listens, keeps the clients' connections within the budget, and stops in order."""
+    """Accepts clients, keeps the number of connections within its limit, and shuts down in stages."""
 
     plan_of: PlanOf = staticmethod(unlimited)
-    admits: Callable[[], bool] = staticmethod(lambda: True)  # whether a query may be taken, by the tier's policy
-    refuses: Callable[[], Throttle | None] = staticmethod(lambda: None)  # what is value while none may be
+    admits: Callable[[], bool] = staticmethod(lambda: True)  # whether the tier's policy admits queries
+    refuses: Callable[[], Throttle | None] = staticmethod(lambda: None)  # the answer while no query is admitted
 
     def __init__(
         self,
@@ -346,21 +349,23 @@
         max_links: int,
         max_held_bytes: int,
     ) -> None:
-        """Accept at this listener; at most `most` clients are served, a few more are turned away."""
+        """Start accepting; at most `max_links` clients are served, and OVERFLOW_LINKS more are refused with 503."""
         self.scheduler, self.clock, self.dispatch = scheduler, clock, dispatch
         self.counters, self.log, self.names, self.settings = counters, log, names, settings
         self.max_links, self.max_held_bytes, self.held_body_bytes = max_links, max_held_bytes, 0
         self.links: set[ClientLink] = set()
-        self.idle: dict[ClientLink, None] = {}  # longest idle first
-        self.before_first_request: dict[ClientLink, None] = {}  # no whole request has come yet; longest here first
-        self.partial_requests: dict[ClientLink, None] = {}  # part of a request has come; longest silent first
-        self.lingering: dict[ClientLink, None] = {}  # value what was bad, and not gone yet
+        self.idle: dict[ClientLink, None] = {}  # used connections between requests; longest idle first
+        self.before_first_request: dict[ClientLink, None] = {}  # no byte received yet; oldest first
+        self.partial_requests: dict[ClientLink, None] = {}  # part of a first request received; longest silent first
+        self.lingering: dict[ClientLink, None] = {}  # a bad request was answered; waiting for the client to close
         self.duty = Duty()
-        self._stage_timer: Timer | None = None  # of the next stage of duty
-        self.on_stage_change: Callable[[], None] = lambda: None  # value when the stage of duty changes
+        self._stage_timer: Timer | None = None  # fires when the next duty stage is due
+        self.on_stage_change: Callable[[], None] = lambda: None  # called when the duty stage changes
         self.stopped: bool = False
         self.on_stopped: Callable[[], None] = scheduler.stop
-        self.successor: Callable[[socket.socket, bool], None] | None = None  # takes connections with nothing under way
+        self.successor: Callable[[socket.socket, bool], None] | None = (
+            None  # receives connections without a request in progress
+        )
         self.listener = listener
         self.accepting = scheduler.spawn(self._accept)
 
@@ -374,12 +379,12 @@
             self.scheduler.wait(until, fd)
             try:
                 has_capacity = self._accept_all()
-            except Exception:  # whatever one client does, the next ones are taken
+            except Exception:  # one client's fault must not stop accepting
                 self.fault()
                 has_capacity = False
             until = math.inf if has_capacity else self.clock.now() + ACCEPT_RETRY_MS
         if not self.duty.is_handed_over:
-            self._accept_all(1 << 10)  # what the system has accepted for us is ours to answer
+            self._accept_all(1 << 10)  # connections in the accept queue have to be answered
         self.scheduler.forget(self.listener.fileno())
         self.listener.close()
         for link in [*self.idle, *self.before_first_request, *self.partial_requests, *self.lingering]:
@@ -387,11 +392,11 @@
         self._check_stopped()
 
     def _accept_all(self, most: int = ACCEPTS_PER_ROUND) -> bool:
-        """Accept some of those that wait; False if there is no has_capacity for more just now."""
+        """Accept some of the waiting connections; False if no more can be accepted now."""
         return accept_some(self.listener, most, self._has_capacity, self._accepted, self._descriptors_exhausted)
 
     def _has_capacity(self) -> bool:
-        """Whether one more connection may be served: under the budget and its spare, or after one gave way."""
+        """Return whether one more connection may be accepted, after closing another one if necessary."""
         return len(self.links) < self.max_links + OVERFLOW_LINKS or self._shed()
 
     def _accepted(self, sock: socket.socket) -> None:
@@ -404,17 +409,17 @@
         self._shed()
 
     def _add_link(self, sock: socket.socket, used: bool) -> None:
-        over = len(self.links) >= self.max_links and not self._shed()  # only now: somebody did come
+        over = len(self.links) >= self.max_links and not self._shed()  # sheds only now that a client has connected
         link = ClientLink(self, sock, over, used)
         if self.duty.sheds:
             link.close_reason = EndReason.STOPPING
         self.links.add(link)
 
     def _shed(self) -> bool:
-        """Close the connection that is worth least: value off, silent since it came or amid a request, idle longest.
+        """Close one connection; False if none can be. Order: lingering, silent since accept, stalled, longest idle.
 
-        Clients that come by hundreds and say nothing must not push out those that are served. One that has
-        only just connected, or goes on writing, is left alone: its request would fail with the connection.
+        Hundreds of clients that connect and send nothing must not displace those that are served. A client that has
+        only just connected, or is still writing, is spared: its request would fail with the connection.
         """
         now = self.clock.now()
         link = next(iter(self.lingering), None)
@@ -425,7 +430,7 @@
         link = link or next(iter(self.idle), None)
         if link is not None:
             self._close_idle(link, EndReason.SHED)
-            self.links.discard(link)  # it closes within this round
+            self.links.discard(link)  # its task closes it within this round
         return link is not None
 
     def _close_idle(self, link: ClientLink, why: EndReason) -> None:
@@ -435,7 +440,7 @@
         link.task.wake()
 
     def closed(self, link: ClientLink, end_reason: EndReason) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection and count why it ended."""
         self.links.discard(link)
         for group in (self.idle, self.before_first_request, self.partial_requests, self.lingering):
             group.pop(link, None)
@@ -443,17 +448,17 @@
         self._check_stopped()
 
     def fault(self) -> None:
-        """Log an exception of ours."""
+        """Count and log an unexpected exception in this process."""
         self.counters.add("fault.front")
         self.log("fault", where="front", trace=traceback.format_exc())
 
     def stop(self) -> None:
-        """SIGTERM: not ready from now on, serve while there is time, then answer all that is held and close.
+        """Handle SIGTERM: report not ready, serve while there is time, then answer all open queries and close.
 
-        Clients use the connections they have for as long as these stay open, and a tier may have one node
-        only: what is closed early is not served elsewhere but lost to them until the restart.
+        Clients use their connections for as long as these stay open, and a tier may have only one node. Then a
+        connection that is closed early can't be replaced by one to another node before the restart.
         """
-        # By the classes that are named now: one that has vanished binds nobody who sends SIGKILL.
+        # Only classes in the current configuration count: the time of SIGKILL does not allow for a removed class.
         longest = max(self.settings.classes[number].deadline_ms for number in self.names.classes.values())
         if self.duty.stop(self.clock.now(), longest):
             self._apply_stage()
@@ -462,11 +467,11 @@
 
     @property
     def takes(self) -> bool:
-        """Whether clients are taken in, here or by the process that took our place, wherever they were sent."""
+        """Whether clients that connect are accepted, by this process or by its successor."""
         return not self.duty.is_closing
 
     def adopt(self, sock: socket.socket, used: bool) -> None:
-        """Take a connection over from another process of this node: one with nothing under way."""
+        """Take over a connection without a request in progress from another process of this node."""
         if self.takes and self._has_capacity():
             self.counters.add("client.adopted")
             self._add_link(sock, used)
@@ -474,37 +479,37 @@
             sock.close()
 
     def hand_over(self, successor: Callable[[socket.socket, bool], None]) -> None:
-        """Take nobody in from now on; connections go to the successor as soon as nothing is under way on them."""
+        """Stop accepting; connections go to the successor as soon as they have no request in progress."""
         self.successor = successor
         self.duty.hand_over(self.clock.now())
         self._apply_stage()
         while len(self.links) > self.max_links and self._shed():
             pass
-        for link in [*self.idle, *self.before_first_request]:  # amid a request they are served here
+        for link in [*self.idle, *self.before_first_request]:  # those within a request are served here first
             link.task.wake()
         self.accepting.wake()
 
     def take_back(self) -> None:
-        """The successor is gone: take clients in again."""
+        """Accept clients again, after the successor process has ended."""
         self.successor = None
         self.duty.take_back()
         self._apply_stage()
         self.accepting.wake()
 
     def lame_duck(self, since_ms: float | None = None) -> None:
-        """Send clients away, and go on running."""
+        """Drain: report not ready and close idle connections in time, but keep running."""
         if self.duty.lame_duck(self.clock.now() if since_ms is None else since_ms):
             self._apply_stage()
 
     def rejoin(self) -> bool:
-        """End the drain; False if the node stops."""
+        """End the drain; False if the node is stopping."""
         rejoins = self.duty.rejoin()
         if rejoins:
             self._apply_stage()
         return rejoins
 
     def _apply_stage(self) -> None:
-        """Do what the stage of duty asks that holds now."""
+        """Apply the current duty stage to connections, deadlines and timers."""
         duty = self.duty
         self.log("duty", stage=duty.stage.value, open=self.dispatch.open, clients=len(self.links))
         self.dispatch.end_by_ms = duty.end_by_ms
@@ -527,7 +532,7 @@
             self._end()
 
     def _end(self) -> None:
-        """Let the process end, once: all is answered, or who is left does not take its answer."""
+        """Call `on_stopped` once: all is answered, or the remaining clients don't read their answers."""
         if not self.stopped:
             self.stopped = True
             self.on_stopped()
--- a/pipitledge/node/host_group.py
+++ b/pipitledge/node/host_group.py
@@ -1,4 +1,4 @@
-"""The host group: discovery's list of workers, followed by a watch whenever the module asks for one."""
+"""The host group: the worker list from discovery, kept up to date by a watch whenever the policy asks for one."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 
 class BadRow(Exception):
-    """An entry of the list can't be read."""
+    """An entry of the worker list can't be read."""
 
 
 def read_row(raw: Any, names: Names) -> tuple[Worker, Address]:
-    """Read one entry. A zone or kind we have no name for counts as the first, as its worker does run."""
+    """Read one entry. An unknown zone counts as the default one and an unknown kind as 0, as the worker does run."""
     try:
         worker = Worker(
             str(raw["uid"]),
@@ -50,7 +50,7 @@
 
 
 class HostGroup:
-    """The list as this node last had it, and the watch that keeps it up to date."""
+    """The last known worker list, and the watch that keeps it up to date."""
 
     def __init__(
         self,
@@ -65,23 +65,24 @@
         pushed: bool = False,
         grace_ms: float = 300.0,
     ) -> None:
-        """Begin without a list; `start` brings the one known from before. A pushed list is followed from then on, and
-        within a drain's grace again after each end."""
+        """Create the group with an empty list; `start` provides the list of the last run.
+
+        A pushed list is watched from `start` on; after the end of a watch the next one starts within `grace_ms`, the
+        time that a drain leaves.
+        """
         self.scheduler, self.clock, self.dispatch, self.pool = scheduler, clock, dispatch, pool
         self.counters, self.log, self.discovery, self.names = counters, log, discovery, names
         self.version: int | None = None
         self.addresses: dict[str, Address] = {}
-        self.raw: dict[
-            str, Any
-        ] = {}  # the list as discovery entries it, in its form: for a process that takes our place
-        self.out: dict[str, float] = {}  # workers that operators took out, and when
-        self.cold_from: dict[str, float] = {}  # workers back in use: the latest that they can have been restarted
-        self._watch_count = 0  # begun so far; the newest is the one that counts
+        self.raw: dict[str, Any] = {}  # rows as received from discovery, passed on to a new process
+        self.out: dict[str, float] = {}  # workers that operators detached, and when
+        self.cold_from: dict[str, float] = {}  # attached workers, and the latest restart time possible
+        self._watch_count = 0  # watches started so far; only the newest one is valid
         self._watch_task: Task | None = None
         self.watch_monitor = WatchMonitor(pushed, clock.now(), grace_ms)
 
     def start(self, known: Mapping[str, Any]) -> None:
-        """Tell the list that this node held before its start, and see to it that somebody keeps it up."""
+        """Report the list stored before the start, watch a pushed list, and begin the checks for a stale list."""
         self._apply_list(known, Listing.CACHED)
         self.watch_monitor.line_received(self.clock.now())
         if self.watch_monitor.pushed:
@@ -89,14 +90,14 @@
         self._check_stale()
 
     def adopt(self, names: Names, pushed: bool, grace_ms: float) -> None:
-        """Read rows by other names from now on; where the list comes another way than before, a watch must run."""
+        """Apply reloaded settings; a change between pulled and pushed starts a watch."""
         self.names, self.watch_monitor.grace_ms = names, grace_ms
         if pushed != self.watch_monitor.pushed:
             self.watch_monitor.pushed = pushed
             self.watch()
 
     def _check_stale(self) -> None:
-        """Tell the operators once when nobody has kept the list up for so long, whatever the reason."""
+        """Log once when the list has become stale, whatever the cause, and schedule the next check."""
         now = self.clock.now()
         if self.watch_monitor.becomes_stale(now):
             self.counters.add("list.stale")
@@ -117,19 +118,19 @@
             self.log("list", fresh=f"heard again after {silent:.0f} ms", rev=self.version, known=len(self.addresses))
 
     def watch(self) -> None:
-        """Begin a watch, unless one runs: it will tell what there is to tell, or its end will.
+        """Start a watch unless one is running.
 
-        After a move the module may still ask because of the watch before: a second call would only cost
-        discovery, which takes a few a second from all nodes together.
+        After a move the policy may still ask because of the previous watch. A second call would only load discovery,
+        which accepts a few calls a second from all nodes together.
         """
         if self._watch_task is None:
             self._start_watch()
 
     def move(self, discovery: Address) -> None:
-        """Follow discovery to another address: the new watch begins at once, the list stays as it is.
+        """Switch to another discovery address: a new watch starts at once, and the list is kept.
 
-        The version belongs to the address that entries it, so the is_full list is asked for. The watch on the old
-        address ends here; the module does not hear of it, as it would wait before it asks again.
+        List versions of one address mean nothing at another, so the full list is requested. The watch on the old
+        address is ended without a report to the policy, which would wait before it asked for the next watch.
         """
         if discovery == self.discovery:
             return
@@ -139,12 +140,12 @@
         if replaced is not None:
             replaced.wake()
 
-    # ---- what operators lay over the list
+    # ---- operators' overrides of the list
 
     def detach(self, worker: str, sure: bool = False) -> bool:
-        """Take a worker out: whatever the list says, for the module it drains. False if nobody has this id.
+        """Take a worker out of use: the policy sees it as draining, whatever the list says. False if its id is unknown.
 
-        Another process of this node may be sure of one that this one has not been entries of yet.
+        `sure`: another process of this node knows the worker, which may not have reached this process's list yet.
         """
         if worker not in self.raw and worker not in self.out and not sure:
             return False
@@ -152,34 +153,34 @@
             self.out[worker] = self.clock.now()
             self.cold_from.pop(worker, None)
             self._publish_worker(worker)
-            self.pool.retire(worker)  # it is going to be restarted, which breaks them
+            self.pool.retire(worker)  # the worker is going to be restarted, which breaks its links
         return True
 
     def attach(self, worker: str) -> bool:
-        """Use a worker again. It was restarted meanwhile, so it is cold; False if nobody has this id."""
+        """Use a detached worker again, as a cold one: it was restarted meanwhile. False if its id is unknown."""
         if worker not in self.raw and worker not in self.out:
             return False
         if (since := self.out.pop(worker, None)) is not None:
             row = self._listed_row(worker)
-            if row is None or row.started_ms < since:  # discovery is late with it, and it may be as cold as can be
+            if row is None or row.started_ms < since:  # the restart is not listed yet: assume that it is just now
                 self.cold_from[worker] = self.clock.now()
             self._publish_worker(worker)
         return True
 
     def _publish_worker(self, worker: str) -> None:
-        """Tell the module what a worker is by now; one that the list has dropped it has dropped too."""
+        """Report a worker's current state to the policy; nothing if it is no longer listed."""
         if (row := self._listed_row(worker)) is not None:
             self.dispatch.workers_changed(WorkersChanged(Listing.DELTA, (self._with_overrides(row),)))
 
     def _listed_row(self, worker: str) -> Worker | None:
-        """The row that discovery entries of a worker, without what operators laid over it, by today's names."""
+        """Return the worker's row in the list, without operators' overrides, under the current names; None if none."""
         try:
             return read_row(self.raw[worker], self.names)[0] if worker in self.raw else None
-        except BadRow:  # its kind or zone is named no more
+        except BadRow:  # the row is not valid under the current settings
             return None
 
     def _with_overrides(self, row: Worker) -> Worker:
-        """A row of the list as the module is to have it: no news undoes what operators message."""
+        """Return a row of the list with operators' overrides, which no list update undoes."""
         if row.id in self.out and row.state is State.SERVING:
             return row._replace(state=State.DRAINING)
         return row._replace(started_ms=max(row.started_ms, self.cold_from.get(row.id, 0.0)))
@@ -190,7 +191,7 @@
         self._watch_task = self.scheduler.spawn(lambda: self._run_watch(number))
 
     def _apply_list(self, message: Mapping[str, Any], listing: Listing) -> None:
-        """Take one object of the list. A broken entry is left out; the others count."""
+        """Apply one list object; entries that can't be read are logged and skipped."""
         rows = []
         is_full = listing is not Listing.DELTA
         addresses = {} if is_full else dict(self.addresses)
@@ -219,12 +220,12 @@
         self.dispatch.workers_changed(WorkersChanged(listing, tuple(rows)))
 
     def _run_watch(self, number: int) -> None:
-        ending = EndReason.OUR_FAULT
+        end_reason = EndReason.OUR_FAULT
         stream: Stream | None = None
         try:
-            if number != self._watch_count:  # replaced before it ran
+            if number != self._watch_count:  # replaced before its task ran
                 return
-            ending = EndReason.WATCH_REFUSED
+            end_reason = EndReason.WATCH_REFUSED
             with contextlib.suppress(OSError):
                 stream = Stream(
                     self.scheduler,
@@ -236,30 +237,28 @@
                     self.clock.now() + self.watch_monitor.dial_timeout_ms(),
                     lambda: number != self._watch_count,
                 ):
-                    ending = EndReason.WATCH_ENDED
-            if stream is not None and ending is EndReason.WATCH_ENDED:
-                ending = self._read_watch(number, stream)
+                    end_reason = EndReason.WATCH_ENDED
+            if stream is not None and end_reason is EndReason.WATCH_ENDED:
+                end_reason = self._read_watch(number, stream)
         except OSError:
-            ending = EndReason.WATCH_ENDED
+            end_reason = EndReason.WATCH_ENDED
         except (BadMessage, OverflowError, ValueError) as fault:
             self.log("bad-list", why=fault)
-            ending = EndReason.WATCH_BROKEN
+            end_reason = EndReason.WATCH_BROKEN
         except Exception:
             self.counters.add("fault.host-group")
             self.log("fault", where="host-group", trace=traceback.format_exc())
         finally:
             if stream is not None:
                 stream.close()
-            # However it ended, while dialling too: once another one has begun it was replaced.
+            # Once another watch has started, this one counts as replaced, however it ended.
             if number != self._watch_count:
-                ending = EndReason.WATCH_REPLACED
-            self.counters.add(f"watch.{ending.value}")
-            self.log("watch", ending=ending.value, rev=self.version)
-            if ending is not EndReason.WATCH_REPLACED:
+                end_reason = EndReason.WATCH_REPLACED
+            self.counters.add(f"watch.{end_reason.value}")
+            self.log("watch", ending=end_reason.value, rev=self.version)
+            if end_reason is not EndReason.WATCH_REPLACED:
                 self._watch_task = None
-                if (
-                    self.watch_monitor.pushed
-                ):  # its news count as entries whether we listen or not, and asking costs nobody
+                if self.watch_monitor.pushed:  # changes bind the node even without a watch, and calls are cheap
                     self.scheduler.timers.at(self.clock.now() + self.watch_monitor.retry_delay_ms(), self._retry_watch)
                 else:
                     self.dispatch.workers_changed(WorkersChanged(Listing.FAILED))
@@ -267,7 +266,7 @@
     def _retry_watch(self) -> None:
         if self.watch_monitor.pushed:
             self.watch()
-        elif self._watch_task is None:  # by now the list is asked for, and that is the module's to decide
+        elif self._watch_task is None:  # the list is pulled now: the policy decides when to ask again
             self.dispatch.workers_changed(WorkersChanged(Listing.FAILED))
 
     def _read_watch(self, number: int, stream: Stream) -> EndReason:
@@ -280,7 +279,7 @@
         heard_ms, answered = self.clock.now(), False
         while side.is_open:
             until = heard_ms + self.watch_monitor.silence_timeout_ms(answered)
-            if self.clock.now() >= until:  # also where it goes on and on without one is_full object
+            if self.clock.now() >= until:  # also if bytes keep coming without one complete object
                 return EndReason.WATCH_SILENT
             why = stream.readable(until)
             if number != self._watch_count:
@@ -295,12 +294,12 @@
                 return EndReason.WATCH_REFUSED
             if side.status and not answered:
                 heard_ms, answered = self.clock.now(), True
-            for message in objects.receive(data):  # an empty line, too, says that there is no news
+            for message in objects.receive(data):  # an empty line is a heartbeat
                 heard_ms = self.clock.now()
                 self.watch_monitor.reset_backoff()
                 self._line_received()
                 if message is not None:
-                    # A is_full list without its entries would drop every worker.
+                    # A full list without entries would drop every worker.
                     if not isinstance(message.get("targets"), list):
                         raise ValueError("not a list object")
                     self._apply_list(message, Listing.FULL if message.get("all") else Listing.DELTA)
--- a/pipitledge/node/server_link.py
+++ b/pipitledge/node/server_link.py
@@ -1,4 +1,4 @@
-"""Server links: connections to workers, each with its task, kept in a pool per worker."""
+"""Server links: connections to workers, each with its own task, and the pool that reuses them."""
 
 from __future__ import annotations
 
@@ -24,15 +24,18 @@
 from pipitledge.node.end_reasons import EndReason
 from pipitledge.node.reuse_history import ReuseHistory
 
-MAX_ANSWER_BYTES, MAX_LINE_BYTES = 4 * 1024 * 1024, 512 * 1024  # a result of 64 KiB may be escaped sixfold
-ANSWER_TAIL_TIMEOUT_MS = 250.0  # how long the end of an answer's framing may take after its last line
+MAX_ANSWER_BYTES, MAX_LINE_BYTES = (
+    4 * 1024 * 1024,
+    512 * 1024,
+)  # JSON escapes may make a result of 64 KiB six times as long
+ANSWER_TAIL_TIMEOUT_MS = 250.0  # limit from the result line to the end of the HTTP answer
 PROBE_TIMEOUT_MS = 1_000.0
-IDLE_LIMIT_SHARE, IDLE_MARGIN_MS = 0.8, 1_000.0  # of the workers' idle limit: we close first
+IDLE_LIMIT_SHARE, IDLE_MARGIN_MS = 0.8, 1_000.0  # below the workers' idle limit, so that this side closes first
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardedRequest:
-    """What is passed on to a worker unchanged."""
+    """The parts of a client's request that are forwarded to a worker unchanged."""
 
     method: bytes
     target: bytes
@@ -42,7 +45,7 @@
     body: bytes
 
     def parts(self, remaining_ms: float) -> list[Part]:
-        """Give the request as parts for a gathered write."""
+        """Return the request as parts for a gathered write."""
         fields = [(b"Request-Id", self.request_id)]
         if self.idempotency_key:
             fields.append((b"Idempotency-Key", self.idempotency_key))
@@ -51,7 +54,7 @@
 
 
 def read_report(raw: object) -> dict[str, float] | None:
-    """Read a load report, from a JSON object, under the module's names; None where there is none to read."""
+    """Read a load report from a JSON object, with keys translated to the policy's names; None if there is none."""
     if not isinstance(raw, Mapping):
         return None
     values = {REPORTS.get(str(name), str(name)): value for name, value in raw.items()}
@@ -79,7 +82,7 @@
 
 
 def end_reason_of_status(status: int, not_started: bool) -> EndReason:
-    """Read an answer that is not 200: only with Not-Started is it known that the job never ran."""
+    """Map an HTTP status other than 200; only with Not-Started is it certain that the job never ran."""
     return EndReason.HANDED_BACK if status in (503, 504) and not_started else EndReason.WORKER_FAILED
 
 
@@ -92,10 +95,10 @@
 
 
 class ServerLink:
-    """One connection to a worker. Its task serves one execution after another."""
+    """One connection to a worker; its task runs one execution after another."""
 
     def __init__(self, pool: Pool, worker: str, address: Address, execution: Execution) -> None:
-        """Be made for an execution; the task dials."""
+        """Start the task, which connects and then runs `execution`."""
         self.pool, self.worker, self.address = pool, worker, address
         self.execution: Execution | None = execution
         self.stream: Stream | None = None
@@ -104,7 +107,7 @@
         execution.wake = self.task.wake
 
     def run(self) -> None:
-        """Dial, serve, wait for the next execution; whatever happens, what it holds gets an end_reason."""
+        """Connect and run executions until the link ends; the current execution always gets an end reason."""
         end_reason = EndReason.OUR_FAULT
         try:
             end_reason = self._dial()
@@ -141,7 +144,7 @@
             self.pool.dispatch.ended(execution, end_reason, report, result)
 
     def _dial(self) -> EndReason:
-        """Connect within the settings' limit. SERVED means: go on."""
+        """Connect within the timeout from the settings. SERVED means that the connection is up."""
         assert self.execution is not None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -157,7 +160,7 @@
             if fault.errno in (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL):
                 return EndReason.NO_SOCKET
             return EndReason.DIAL_REFUSED
-        # One whose own time was over first says nothing of the worker.
+        # If the execution's own deadline came first, that is no sign of a fault of the worker.
         return (
             EndReason.TAKEN_BACK
             if execution.is_cancelled() or execution.deadline_ms < dial_until
@@ -165,24 +168,24 @@
         )
 
     def _serve(self, execution: Execution) -> EndReason:
-        """Send one execution and read its answer. SERVED means: the connection can be used again."""
+        """Send one execution and read its answer. SERVED means that the connection can be reused."""
         stream, clock = self.stream, self.pool.clock
         assert stream is not None
-        # The one place before the first byte: while it was dialled, or since the link was taken from the pool, the
-        # query may have ended, the worker been told to drain, or the connection been closed or used out of turn.
+        # Last check before the first byte. During the connect, or since the link was taken from the pool, the query may
+        # have ended, the worker may have started to drain, or it may have closed the connection or sent stray bytes.
         if execution.is_cancelled() or clock.now() >= execution.deadline_ms:
             self._end(EndReason.TAKEN_BACK)
             return EndReason.SERVED
         if not stream.is_quiet():
-            if self.last_received_ms == -math.inf:  # on a new one, too: this worker takes connections and nothing else
+            if self.last_received_ms == -math.inf:  # a new connection as well: dialling again could go on for ever
                 return EndReason.BROKEN_BEFORE_SENT
             self.execution = None
             self.pool.closed(self)
             self.pool.counters.add("link.stale")
             self.pool.start(execution)
             return EndReason.STALE
-        # Up to the last byte written the worker can't have begun; from there on it may have. What is written
-        # to a connection that the worker has closed unseen is therefore a reset, and never sent again here.
+        # Until the last byte is written the worker can't have started the job; from then on it may have. So a request
+        # written to a connection that the worker has already closed counts as a reset, and isn't sent again here.
         try:
             remaining_ms = execution.deadline_ms - clock.now()
             if not stream.write(
@@ -191,20 +194,19 @@
                 return EndReason.TAKEN_BACK if execution.is_cancelled() else EndReason.BROKEN_BEFORE_SENT
         except OSError:
             return EndReason.BROKEN_BEFORE_SENT
-        idle = clock.now() - self.last_received_ms  # infinite on a new link
+        idle = clock.now() - self.last_received_ms  # infinite for a new link
         side, tail_until = WorkerSide(MAX_ANSWER_BYTES, MAX_LINE_BYTES), math.inf
         while side.is_open:
             if execution.abandoned and self.execution is not None:
                 return EndReason.CALLED_OFF
             if tail_until == math.inf and (self.execution is None or side.status not in (0, 200)):
-                tail_until = (
-                    clock.now() + ANSWER_TAIL_TIMEOUT_MS
-                )  # all that counts has come: the end has this long, whatever comes
+                # The result is known: the rest of the answer has a fixed time, however many bytes come.
+                tail_until = clock.now() + ANSWER_TAIL_TIMEOUT_MS
             if clock.now() >= tail_until:
                 self.pool.counters.add("link.endless-answer")
                 self.pool.log("endless-answer", worker=self.worker, status=side.status, after_ms=ANSWER_TAIL_TIMEOUT_MS)
                 return EndReason.BROKEN_ANSWER
-            if self.execution is not None and clock.now() >= execution.deadline_ms:  # however much it says
+            if self.execution is not None and clock.now() >= execution.deadline_ms:  # even while lines keep coming
                 return EndReason.OUT_OF_TIME
             if (
                 stream.readable(min(execution.deadline_ms, tail_until) if self.execution else tail_until)
@@ -237,7 +239,7 @@
             self.pool.reuse_history.record_use(self.pool.clock.now(), idle_ms, broke)
 
     def _handle_lines(self, execution: Execution, lines: list[bytes]) -> bool:
-        """Take the lines of a 200; False if one can't be read or is another request's."""
+        """Handle the lines of an answer with status 200; False if one is malformed or belongs to another request."""
         query = execution.query
         for line in lines:
             if not line.strip() or self.execution is None:
@@ -246,7 +248,7 @@
                 report: Any = json.loads(line)
                 state = report["state"]
                 if report.get("id", query.arrival.job) != query.arrival.job:
-                    raise ValueError("another request's id")  # a second answer to the one before, say
+                    raise ValueError("another request's id")  # such as a second answer to the previous request
                 if state in END_REASON_BY_STATE:
                     result = report.get("result", "") if state == "done" else ""
                     text = result if isinstance(result, str) else json.dumps(result)
@@ -262,12 +264,12 @@
         return True
 
     def _idle(self) -> EndReason:
-        """Wait in the pool. SERVED means: there is another execution."""
+        """Wait in the pool. SERVED means that the link was given another execution."""
         stream = self.stream
         assert stream is not None
         if self.retired or len(stream.buffer):
             return EndReason.STALE
-        if self.last_received_ms == -math.inf:  # it came up for one that was taken back
+        if self.last_received_ms == -math.inf:  # the execution it was dialled for was cancelled before it was sent
             self.last_received_ms = self.pool.clock.now()
         self.pool.release(self)
         stream.readable(self.pool.clock.now() + self.pool.idle_ms)
@@ -275,7 +277,7 @@
 
 
 class Pool:
-    """All server links, the idle ones by worker and newest last."""
+    """All server links; the idle ones are kept by worker, the most recently used last."""
 
     def __init__(
         self,
@@ -288,7 +290,7 @@
         idle_ms: float,
         max_links: int,
     ) -> None:
-        """Keep at most `most` links, and none idle for longer than the workers allow."""
+        """Keep at most `max_links` links, and none idle for as long as the workers' idle limit `idle_ms`."""
         self.scheduler, self.clock, self.dispatch, self.counters, self.log = (scheduler, clock, dispatch, counters, log)
         self.max_links = max_links
         self.set_timeouts(dial_timeout_ms, idle_ms)
@@ -298,7 +300,7 @@
         self.idle: dict[str, list[ServerLink]] = {}
 
     def start(self, execution: Execution) -> None:
-        """Give an execution to the newest idle link that is still open, or to a new one."""
+        """Give an execution to the most recently used idle link that is reusable, or to a new link."""
         worker = execution.worker
         address = self.addresses.get(worker)
         if address is None:
@@ -307,7 +309,7 @@
         idle = self.idle.get(worker, [])
         while idle:
             link = idle.pop()
-            # One that its worker has closed meanwhile shows in the link's task, before a byte is written.
+            # The link's task checks whether the worker has closed the connection before it writes a byte.
             if (
                 link.stream is not None
                 and link.address == address
@@ -324,19 +326,19 @@
         self.links.add(ServerLink(self, worker, address, execution))
 
     def set_timeouts(self, dial_timeout_ms: float, idle_ms: float) -> None:
-        """Take what the settings say of connections, for those that begin or come to be idle from now on."""
+        """Set the timeouts of connects and idle waits that begin from now on."""
         self.dial_timeout_ms = dial_timeout_ms
         self.idle_ms = max(idle_ms * 0.1, min(idle_ms * IDLE_LIMIT_SHARE, idle_ms - IDLE_MARGIN_MS))
 
     def set_max_links(self, max_links: int) -> None:
-        """Hold to another budget from now on; idle links beyond it are closed."""
+        """Change the limit on the number of links; idle links beyond it are closed."""
         self.max_links = max_links
         for _ in range(len(self.links) - max_links):
             if not self._close_one_idle():
                 break
 
     def _close_one_idle(self) -> bool:
-        """Let go of one idle link, to have its descriptor for a new one."""
+        """Close one idle link to free its descriptor; False if none is idle."""
         for idle in self.idle.values():
             if idle:
                 idle.pop(0).task.wake()
@@ -344,14 +346,14 @@
         return False
 
     def release(self, link: ServerLink) -> None:
-        """Put a link back that can be used again."""
+        """Return a reusable link to the pool."""
         self.idle.setdefault(link.worker, []).append(link)
 
     def close_silent_links(self, worker: str, since_ms: float) -> None:
-        """Close the idle links to a worker that have report nothing for as long as an execution that got none.
+        """Close the worker's idle links that have received nothing since an unanswered request was sent (`since_ms`).
 
-        A machine that is cut off leaves its connections open and silent: one after the other would take an
-        execution that may have run, where a new connection that never comes up proves that it has not.
+        A machine that is cut off from the network leaves its connections open but silent. Each such link would take an
+        execution that may then have run, whereas a new connection that fails to come up proves that it has not.
         """
         for link in self.idle.get(worker, [])[:]:
             if link.last_received_ms < since_ms:
@@ -359,32 +361,32 @@
                 link.task.wake()
 
     def retire(self, worker: str) -> None:
-        """Close the links to a worker: idle ones now, the others after their answer."""
+        """Close the links to a worker: the idle ones now, the others after their current answer."""
         for link in self.links:
             link.retired |= link.worker == worker
         for link in self.idle.pop(worker, []):
             link.task.wake()
 
     def closed(self, link: ServerLink) -> None:
-        """Forget a link."""
+        """Remove a link that has ended from the pool."""
         self.links.discard(link)
         with contextlib.suppress(ValueError, KeyError):
             self.idle[link.worker].remove(link)
 
     def fault(self, where: str, worker: str) -> None:
-        """Log an exception of ours."""
+        """Count and log an unexpected exception in this process."""
         self.counters.add(f"fault.{where}")
         self.log("fault", where=where, worker=worker, trace=traceback.format_exc())
 
     def set_addresses(self, addresses: dict[str, Address]) -> None:
-        """Take over the list's addresses; idle links to workers that left it are closed."""
+        """Replace the workers' addresses; idle links to workers without an address are closed."""
         self.addresses = addresses
         for worker in [worker for worker in self.idle if worker not in addresses]:
             for link in self.idle.pop(worker):
                 link.task.wake()
 
     def probe(self, worker: str) -> None:
-        """Ask a worker how it is, on a connection of its own."""
+        """Request a load report from a worker on a separate connection."""
         self.scheduler.spawn(lambda: self._probe(worker))
 
     def _probe(self, worker: str) -> None:
--- a/pipitledge/node/watch_monitor.py
+++ b/pipitledge/node/watch_monitor.py
@@ -1,73 +1,76 @@
-"""Who keeps the list up, and when nobody does. No I/O.
+"""Timeouts and retries of the watch on the worker list, and detection of a stale list. No I/O.
 
-A deployment tells how its list comes. Where it is *asked* for, one service answers all nodes, so every call is the
-module's to decide: it asks for a watch and hears of its end. Where it is *pushed*, an agent on the node's own machine
-has what the node counts as told, so a watch must run from the start, and again at once after each end.
+A deployment declares how its worker list arrives. Where it is *pulled*, one discovery service answers all nodes, so the
+policy decides about every call: it asks for a watch and is notified when the watch ends. Where it is *pushed*, an agent
+on the node's own machine serves the list, and the node counts as informed of all that the agent has. So a watch must
+run from the start, and again at once after each end.
 
-    states of a pushed list       leaves by
-    watched, list fresh           the watch's end, or its silence -> between watches
-    between watches               retry_delay_ms later -> dialling, which ends in a watch or in another wait
-    stale (any of the above)      a line of any watch -> fresh
+    states of a pushed list       leaves the state by
+    watched, list fresh           the end of the watch, or its silence timeout -> between watches
+    between watches               expiry of retry_delay_ms -> dialling, which ends in a watch or in another delay
+    stale (in any of the above)   a line of any watch -> fresh
 
-Always true: with a pushed list either a watch's task runs or a timer that begins one is set. Whichever way the list
-comes, `becomes_stale` is true exactly once after STALE_AFTER_MS without a line, and `line_received` ends that.
+Invariants: with a pushed list, either a watch is running or a timer that starts one is set. However the list arrives,
+`becomes_stale` returns true exactly once after STALE_AFTER_MS without a line, and `line_received` ends the stale state.
 """
 
 from __future__ import annotations
 
-# An object or an empty line comes every 2 s, and what discovery has to tell counts as told 6 s after a watch fell
-# silent. Bytes that are neither say nothing: a watch that only dribbles is as dead as one that is silent.
+# Discovery sends an object or an empty line every 2 s, and a node counts as informed of a change 6 s after its watch
+# fell silent. Other bytes don't count as a sign of life: a watch that only trickles parts of a line is dead.
 PULLED_DIAL_TIMEOUT_MS = 1_000.0
-PULLED_SILENCE_TIMEOUT_MS = (
-    3_500.0  # an asked list's watch must be found dead early enough to ask again within that time
-)
-PUSHED_SILENCE_TIMEOUT_MS = 2_400.0  # an agent's news bind from when it had them, and a new call costs nothing
-# An agent answers at once; one that was silent may have dropped the calls it got meanwhile, and what it has then counts
-# as told. So the wait for its answer, and that from an end to the next call, leave a tenth of a drain's grace.
+PULLED_SILENCE_TIMEOUT_MS = 3_500.0  # leaves time to ask again within those 6 s
+PUSHED_SILENCE_TIMEOUT_MS = 2_400.0  # shorter: a change binds from when the agent has it, and a new call is cheap
+# An agent answers at once. One that was silent may have dropped the calls it received meanwhile, and the node still
+# counts as informed of the agent's changes. So the answer timeout and the retry delay together leave a tenth of a
+# drain's grace.
 PUSHED_ANSWER_TIMEOUT_MS, PUSHED_ANSWER_GRACE_SHARE = 200.0, 0.65
 STALE_AFTER_MS = 6_000.0
 RETRY_DELAY_MS, MAX_RETRY_DELAY_MS, RETRY_GRACE_SHARE = 20.0, 80.0, 0.25
 
 
 class WatchMonitor:
-    """Told of lines, answers and ends, it knows how long to wait, and whether the list is stale."""
+    """Computes the timeouts and retry delays of watches from their lines and ends, and whether the list is stale."""
 
     def __init__(self, pushed: bool, now_ms: float, grace_ms: float) -> None:
-        """Begin with a list that was line_received just now, and so long a time after news of a drain."""
+        """Treat the list as fresh at `now_ms`; `grace_ms`: time that a drain leaves to take effect."""
         self.pushed, self.last_line_ms, self.stale, self.grace_ms = pushed, now_ms, False, grace_ms
-        self._failed_watches = 0  # in a row, without an answer between them
+        self._failed_watches = 0  # since the last object or empty line
 
     def line_received(self, now_ms: float) -> float | None:
-        """Take a line. Where the list was stale, the ms that nothing was line_received; else None."""
+        """Record a line of a watch. Return how long none came, in ms, if the list was stale; else None."""
         silent = now_ms - self.last_line_ms if self.stale else None
         self.last_line_ms, self.stale = now_ms, False
         return silent
 
     def reset_backoff(self) -> None:
-        """A watch has told something: the next one after its end comes at once."""
+        """Reset the retry backoff; called with each object or empty line of a watch."""
         self._failed_watches = 0
 
     def retry_delay_ms(self) -> float:
-        """How long to wait from the end of a pushed list's watch to the next one."""
+        """Count a watch that ended, and return the delay before the next watch of a pushed list."""
         self._failed_watches += 1
         most = min(MAX_RETRY_DELAY_MS, RETRY_GRACE_SHARE * self.grace_ms)
         return float(min(most, RETRY_DELAY_MS * 2.0 ** min(self._failed_watches - 1, 8)))
 
     def dial_timeout_ms(self) -> float:
-        """How long a connection may take to come up: an agent is on the node's own machine."""
+        """Return the connect timeout: shorter for an agent, which is on the node's own machine."""
         return self._answer_timeout_ms() if self.pushed else PULLED_DIAL_TIMEOUT_MS
 
     def _answer_timeout_ms(self) -> float:
         return min(PUSHED_ANSWER_TIMEOUT_MS, PUSHED_ANSWER_GRACE_SHARE * self.grace_ms)
 
     def silence_timeout_ms(self, answered: bool) -> float:
-        """After how long without an object or an empty line a watch is dead, before and after its answer's head."""
+        """Return the time without an object or an empty line after which a watch is dead.
+
+        `answered`: whether the head of the HTTP answer has been received.
+        """
         if not self.pushed:
             return PULLED_SILENCE_TIMEOUT_MS
         return PUSHED_SILENCE_TIMEOUT_MS if answered else self._answer_timeout_ms()
 
     def becomes_stale(self, now_ms: float) -> bool:
-        """Whether the list is stale from now on; true once."""
+        """Return whether the list has just become stale; true once until the next line."""
         if self.stale or now_ms < self.last_line_ms + STALE_AFTER_MS:
             return False
         self.stale = True
--- a/tests/test_ipp_sockets.py
+++ b/tests/test_ipp_sockets.py
@@ -71,7 +71,9 @@
             200.0,
         )
         self.scheduler.after_round = self.dispatch.round
-        self.dispatch.listed(WorkersChanged(Listing.FULL, tuple(Worker(one.model.name) for one in self.printers)))
+        self.dispatch.workers_changed(
+            WorkersChanged(Listing.FULL, tuple(Worker(one.model.name) for one in self.printers))
+        )
         service = Service(URI, self.jobs, lambda: int(self.clock.now() / 1_000.0), lambda: True)
         self.front = IppFront(
             self.scheduler,
