--- a/tests/net_helper.py
+++ b/tests/net_helper.py
@@ -1,6 +1,6 @@
-"""The one helper of the network tests: a node's parts on socket pairs, with a clock that tests set.
+"""Helpers of the network tests: the parts of a node on socket pairs, with a clock that tests set.
 
-Bytes written to a socket pair can be read at once and no test waits for time, so each run goes the same way.
+Bytes written to a socket pair can be read at once and no test waits for time, so all runs are the same.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class Script:
-    """In the module's place: notes the events and does what the test says next."""
+    """Stands in for the policy: records the events and returns the actions that the test chooses."""
 
     def __init__(self) -> None:
         self.settings, self.now = SETTINGS, 0.0
@@ -56,7 +56,7 @@
 
 
 class Pipe(socket.socket):
-    """Our end of a connection that the node dials; the test holds the far end."""
+    """The node's end of a connection that it dials; the test holds the far end."""
 
     far: socket.socket
     refuses = False
@@ -113,13 +113,13 @@
         self.logged.append((event, fields))
 
     def socket(self, *_: object) -> Pipe:
-        """In the place of socket.socket."""
+        """Replaces socket.socket in the node's modules."""
         if self.no_descriptor:
             raise OSError(errno.EMFILE, "no descriptor")
         ours, far = socket.socketpair()
         pipe = Pipe(ours.family, ours.type, fileno=ours.detach())
         pipe.refuses, pipe.hangs = self.next_refuses, self.next_hangs
-        if pipe.hangs:  # a pair is writable at once: fill it, as a connection that does not come up is not
+        if pipe.hangs:  # a socket pair is writable at once, unlike a pending connect: fill it
             pipe.setblocking(False)
             try:
                 while True:
@@ -132,7 +132,7 @@
         return pipe
 
     def settle(self, after_ms: float = 0.0) -> None:
-        """Let time pass, then run rounds until nothing is ready."""
+        """Advance the clock, then run enough rounds for all that is ready."""
         self.time += after_ms
         for _ in range(12):
             self.scheduler.turn(0.0)
@@ -146,7 +146,7 @@
         return self.dispatch.take(arrival, passage, replies.append)
 
     def client(self, over_budget: bool = False, sock: socket.socket | None = None) -> tuple[socket.socket, ClientLink]:
-        """A client's connection, without a listener; with a socket of the test's own, where it has made one."""
+        """Connect a client without a listener, on a new socket pair or on `sock`."""
         if not hasattr(self, "front"):
             self.front: Any = Front.__new__(Front)
             for name, value in {
@@ -183,77 +183,77 @@
     def close(self) -> None:
         for far in self.open:
             far.close()
-        self.settle(700_000.0)  # what is left of the node's connections ends: nothing outlives a test
+        self.settle(700_000.0)  # time out the node's remaining connections, so that none outlives the test
         self.settle(700_000.0)
 
 
-class Stand:
-    """A worker or an agent on a TCP address of the loopback, played by the test; it does nothing of itself."""
+class FakePeer:
+    """A worker or agent on a loopback TCP address, driven by the test; it does nothing by itself."""
 
-    def __init__(self, wires: Wires) -> None:
-        self.wires, self.listener = wires, socket.create_server(("127.0.0.1", 0), backlog=512)
+    def __init__(self, rig: TcpRig) -> None:
+        self.rig, self.listener = rig, socket.create_server(("127.0.0.1", 0), backlog=512)
         self.listener.settimeout(10.0)
         self.address = self.listener.getsockname()
         self.links: list[socket.socket] = []
-        wires.open.append(self.listener)
+        rig.open.append(self.listener)
 
     def accept(self) -> socket.socket:
-        """The next connection of the node, which has come up whether or not it is accepted."""
-        self.wires.until(lambda: readable([self.listener], 0.0))
+        """Accept the next connection of the node; for the node it is established even before."""
+        self.rig.until(lambda: readable([self.listener], 0.0))
         sock, _ = self.listener.accept()
         sock.setblocking(False)
         self.links.append(sock)
-        self.wires.open.append(sock)
+        self.rig.open.append(sock)
         return sock
 
     def request(self, sock: socket.socket) -> bytes:
-        """The whole request that comes on a connection; its body is the rig's."""
+        """Read a complete request from a connection, up to the body that Rig.query sends."""
         got = bytearray()
 
         def whole() -> bool:
             got.extend(read(sock) or b"")
             return got.endswith(b"{body}")
 
-        self.wires.until(whole)
+        self.rig.until(whole)
         return bytes(got)
 
     def waiting(self) -> list[socket.socket]:
-        """Connections that have come up and were not accepted yet."""
+        """Accept all waiting connections, and return all accepted so far."""
         while readable([self.listener], 0.0):
             self.accept()
         return self.links
 
-    def hold_back(self) -> None:
-        """From now on connections don't come up: the queue of those that nobody has accepted is full."""
+    def stall_connects(self) -> None:
+        """Leave further connects pending, by filling the accept queue."""
         self.listener.listen(0)
         for _ in range(4):
             plug = socket.socket()
             plug.setblocking(False)
             plug.connect_ex(self.address)
-            self.wires.open.append(plug)
+            self.rig.open.append(plug)
 
 
-class Wires(Rig):
-    """The same node's parts on real TCP sockets of the loopback.
+class TcpRig(Rig):
+    """The same parts of a node on real loopback TCP sockets.
 
-    Time stands still unless the test moves it, and rounds are run by `until` alone, so that what crosses what is the
-    test's choice: between two of its lines nothing happens.
+    The clock stands still unless the test sets it, and only `until` runs rounds. So the test determines the order of
+    events: nothing happens between two of its lines.
     """
 
     def __init__(self, policy: Any = None) -> None:
         super().__init__(None, policy=policy)
         self.pool.addresses = {}
 
-    def worker(self, name: str) -> Stand:
-        stand = Stand(self)
-        self.pool.addresses = self.pool.addresses | {name: stand.address}
-        return stand
+    def worker(self, name: str) -> FakePeer:
+        peer = FakePeer(self)
+        self.pool.addresses = self.pool.addresses | {name: peer.address}
+        return peer
 
-    def row(self, name: str, stand: Stand, state: str = "in_service") -> dict[str, object]:
-        """A worker's entry of the list."""
+    def row(self, name: str, peer: FakePeer, state: str = "in_service") -> dict[str, object]:
+        """Return a worker's entry in the worker list."""
         return {
             "uid": name,
-            "endpoint": "{}:{}".format(*stand.address),
+            "endpoint": "{}:{}".format(*peer.address),
             "az": "aarhus-1",
             "model": "fast-4",
             "pod_group": 0,
@@ -262,46 +262,48 @@
             "boot_ms": 0,
         }
 
-    def told(self, *rows: dict[str, object], whole: bool = False) -> None:
-        """News of the list, as a watch has them; the round that hands them to the module has not run."""
+    def apply_list(self, *rows: dict[str, object], whole: bool = False) -> None:
+        """Apply a list update as a watch does; the round that reports it to the policy has not run yet."""
         self.group._apply_list({"rev": 1, "targets": [*rows]}, Listing.FULL if whole else Listing.DELTA)
 
     def until(self, seen: Callable[[], object]) -> None:
-        """Run rounds until it is seen; the wait is for the system's sockets alone."""
+        """Run rounds until `seen` returns true; it waits only for the sockets of the system."""
         for _ in range(2_000):
             if seen():
                 return
             self.scheduler.turn(5.0)
-        raise AssertionError("it did not come")
+        raise AssertionError("condition not met within 2,000 rounds")
 
-    def idle_link(self, stand: Stand, name: str = "a", **fields: Any) -> socket.socket:
-        """The worker's end of a link that has served the query of this name and stands idle."""
+    def idle_link(self, peer: FakePeer, name: str = "a", **fields: Any) -> socket.socket:
+        """Serve a query on a new link, and return the worker's end of that link, which is then idle."""
         query = self.query(name, **fields)
-        worker = stand.accept()
-        stand.request(worker)
+        worker = peer.accept()
+        peer.request(worker)
         worker.send(HEAD + line("done", name) + END)
         self.until(lambda: any(self.pool.idle.values()))
         assert not query.open
         return worker
 
     def link(self) -> ServerLink:
-        """The one server link that has an execution."""
+        """Return the only server link that has an execution."""
         [link] = [link for link in self.pool.links if link.execution is not None]
         return link
 
     def caller(self) -> socket.socket:
-        """A client's connection on TCP, taken in by the front."""
+        """Connect a client over TCP."""
         with socket.create_server(("127.0.0.1", 0)) as door:
             far = socket.create_connection(door.getsockname(), 10.0)
             ours, _ = door.accept()
-        self.client(sock=ours)[0].close()  # makes the front; the pair's own far end is not used
+        self.client(sock=ours)[
+            0
+        ].close()  # creates the front if needed; the far end of the unused socket pair is closed
         far.setblocking(False)
         self.open.append(far)
         return far
 
 
 def readable(socks: Sequence[socket.socket], wait_ms: float) -> list[socket.socket]:
-    """Those that have something to read. By poll: a process that has run other tests has descriptors over 1,023."""
+    """Return the readable sockets. Uses poll: select fails for descriptors over 1,023, which a test run may reach."""
     poll, known = select.poll(), {sock.fileno(): sock for sock in socks}
     for number in known:
         poll.register(number, select.POLLIN)
@@ -309,7 +311,7 @@
 
 
 def read(sock: socket.socket) -> bytes | None:
-    """What has come; None if the other side closed and nothing is left."""
+    """Return the received bytes; None if the other side closed and nothing is left."""
     try:
         return sock.recv(1 << 20) or None
     except BlockingIOError:
@@ -327,7 +329,7 @@
 
 
 def line(state: str, of: str = "a", **more: object) -> bytes:
-    """A worker's line on the request of this id."""
+    """Return a worker's status line for the request with this id."""
     import json
 
     return chunk(json.dumps({"id": of, "from": "w0", "state": state, **more}).encode() + b"\n")
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The dispatch: one outcome a send, one answer a query, whatever fails."""
+"""The dispatch: exactly one result for each Send and one answer for each query, whatever fails."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 from pipitledge.node.end_reasons import EndReason
 
 
-class Held:
-    """Server links that only hold what they are given."""
+class RecordingLinks:
+    """Server links that only record the executions they are given."""
 
     def __init__(self) -> None:
         self.started: list[Execution] = []
@@ -42,7 +42,7 @@
 @pytest.fixture
 def rig(monkeypatch: pytest.MonkeyPatch) -> Iterator[Rig]:
     made = Rig(monkeypatch)
-    made.dispatch.links = made.held = Held()  # type: ignore[attr-defined]
+    made.dispatch.links = made.recording = RecordingLinks()  # type: ignore[attr-defined]
     yield made
     made.close()
 
@@ -51,22 +51,22 @@
     return lambda event: [Send(event.job, worker) for worker in workers if isinstance(event, JobArrived)]
 
 
-def test_sends_are_numbered_in_step_and_moot_ones_count(rig: Rig) -> None:
+def test_execution_numbers_count_all_sends_including_moot_ones(rig: Rig) -> None:
     rig.script.on_event = sends("w0", "w1", "w0", "w1")  # type: ignore[assignment]
     rig.query("a")
     rig.settle()
-    assert [execution.number for execution in rig.held.started] == [0, 1, 2]  # type: ignore[attr-defined]
+    assert [execution.number for execution in rig.recording.started] == [0, 1, 2]  # type: ignore[attr-defined]
     [moot] = rig.script.of(AttemptEnded)  # one more than max_attempts
     assert (moot.attempt, moot.result, moot.closed) == (3, Result.MOOT, False)
 
 
-def test_the_first_served_answers_and_the_others_still_have_their_outcome(rig: Rig) -> None:
+def test_the_first_served_execution_answers_and_the_others_still_report_their_result(rig: Rig) -> None:
     rig.script.on_event = sends("w0", "w1")  # type: ignore[assignment]
     rig.query("a")
     rig.settle()
-    first, second = rig.held.started  # type: ignore[attr-defined]
+    first, second = rig.recording.started  # type: ignore[attr-defined]
     rig.dispatch.ended(second, EndReason.SERVED, {"x0": 1.0}, b"two")
-    rig.dispatch.ended(second, EndReason.BROKEN_AFTER_SENT)  # an ending after the ending is none
+    rig.dispatch.ended(second, EndReason.BROKEN_AFTER_SENT)  # a second end is ignored
     rig.settle()
     rig.dispatch.ended(first, EndReason.SERVED, None, b"one")
     rig.settle()
@@ -74,7 +74,7 @@
     assert [(e.attempt, e.closed) for e in rig.script.of(AttemptEnded)] == [(1, True), (0, True)]
 
 
-def test_a_client_that_leaves_ends_the_query_but_not_its_execution(rig: Rig) -> None:
+def test_a_client_that_disconnects_ends_the_query_but_not_its_execution(rig: Rig) -> None:
     rig.script.on_event = sends("w0")  # type: ignore[assignment]
     query = rig.query("a")
     rig.settle()
@@ -82,7 +82,7 @@
     rig.dispatch.client_gone(query)
     rig.settle()
     assert len(rig.script.of(ClientGone)) == 1 and "a" in rig.dispatch.queries
-    rig.dispatch.ended(rig.held.started[0], EndReason.SERVED, None, b"late")  # type: ignore[attr-defined]
+    rig.dispatch.ended(rig.recording.started[0], EndReason.SERVED, None, b"late")  # type: ignore[attr-defined]
     rig.settle()
     assert rig.answers["a"] == [] and not rig.dispatch.queries and rig.script.of(AttemptEnded)[0].closed
 
@@ -96,15 +96,15 @@
     assert [e.result for e in rig.script.of(AttemptEnded)] == [Result.MOOT] and not rig.dispatch.queries
 
 
-def test_a_query_that_the_module_loses_is_failed_in_time(rig: Rig) -> None:
+def test_a_query_that_the_policy_never_ends_is_failed_in_time(rig: Rig) -> None:
     rig.query("a", patience_ms=400.0)
     rig.settle(389.0)
     assert rig.answers["a"] == []
-    rig.settle(17.0)  # within 16 ms and the sockets' 50 ms after the patience ended
+    rig.settle(17.0)  # within 16 ms after the client's timeout, besides 50 ms for the sockets
     assert rig.answers["a"] == [Failure("overdue")] and rig.counters.counts["query.overdue"] == 1
 
 
-def test_an_exception_of_the_module_loses_no_query(rig: Rig) -> None:
+def test_an_exception_of_the_policy_loses_no_query(rig: Rig) -> None:
     def broken(event: Event) -> list[object]:
         if isinstance(event, JobArrived):
             raise RuntimeError("no such luck")
@@ -118,7 +118,7 @@
     assert rig.counters.counts["fault.module"] == 1 and not rig.dispatch.queries
 
 
-def test_a_tick_never_comes_early(rig: Rig) -> None:
+def test_a_policy_timer_never_fires_early(rig: Rig) -> None:
     rig.script.on_event = lambda event: [SetTimer(40.3, 7)] if isinstance(event, JobArrived) else []
     rig.query("a")
     rig.settle()
@@ -129,8 +129,8 @@
     assert rig.scheduler.timers.wait_ms() is not None
 
 
-def test_a_timer_of_a_query_that_is_over_never_fires(rig: Rig) -> None:
-    """Each wakes the node for nothing, seconds after its job ended; the next timer of a query replaces the last."""
+def test_a_timer_of_a_query_that_has_ended_never_fires(rig: Rig) -> None:
+    """Such timers would wake the node for nothing. A query has one timer: a new one replaces the last."""
     rig.script.on_event = lambda event: (
         [SetTimer(50.0, 7, event.job), SetTimer(60.0, 8, event.job)]
         if isinstance(event, JobArrived)
@@ -144,10 +144,10 @@
     rig.dispatch.events.append(TimerFired(9))
     rig.settle()
     rig.settle(70.0)
-    assert [event.token for event in rig.script.of(TimerFired)] == [9, 8]  # b's last one alone
+    assert [event.token for event in rig.script.of(TimerFired)] == [9, 8]  # only b's last one
 
 
-def test_the_modules_own_timers_do_not_pile_up() -> None:
+def test_timers_inside_the_policy_do_not_pile_up() -> None:
     later = Later()
     for number in range(1_000):
         job = JobRecord(JobArrived(f"j{number}"), JobClass(), 0, 1.0, 1.0, 0.0, 1.0)
@@ -156,14 +156,14 @@
     assert len(later) <= 256
 
 
-def test_after_an_overload_counters_show_by_tenant_who_was_taken_refused_served_and_why_one_failed(rig: Rig) -> None:
+def test_counters_show_by_tenant_what_was_taken_refused_and_served_and_why_queries_failed(rig: Rig) -> None:
     rig.script.on_event = lambda event: (  # type: ignore[assignment]
         [Refuse(event.job) if event.tenant else Send(event.job, "w0")] if isinstance(event, JobArrived) else []
     )
     for number in range(30):
         rig.query(f"q{number}", tenant=number % 2, patience_ms=400.0)
     rig.settle()
-    rig.dispatch.ended(rig.held.started[0], EndReason.SERVED, None, b"ok")  # type: ignore[attr-defined]
+    rig.dispatch.ended(rig.recording.started[0], EndReason.SERVED, None, b"ok")  # type: ignore[attr-defined]
     rig.settle(500.0)
     counts = rig.counters.counts
     assert (counts["tenant.0.taken"], counts["tenant.1.taken"], counts["tenant.1.throttle"]) == (15, 15, 15)
@@ -171,10 +171,10 @@
     assert not any(name.startswith("tenant.1.") and name.endswith(("served", "failure")) for name in counts)
 
 
-def test_a_flood_of_one_event_writes_a_bounded_number_of_lines_and_counts_the_rest(
+def test_log_lines_of_one_event_are_limited_per_second_and_the_rest_is_counted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Under overload the log must not add to the trouble: so many lines a second of one event, the rest counted."""
+    """Under overload the log must not add load: lines of one event are limited per second, the rest counted."""
     from pipitledge.node import counters as module
 
     monkeypatch.setattr(module.time, "time", lambda: 1_000.5)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""A model of a client's connection, checked against random steps; then its single guards."""
+"""Client connections: a state model checked against random steps, then tests of single rules."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Model:
-    """The connection is idle, halfway through a request, holds a query, or is closed."""
+    """Expected state of a connection: idle, half (within a request), held (an open query) or closed."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig, self.state, self.count = rig, "idle", 0
@@ -73,7 +73,7 @@
                 assert rig.script.of(ClientGone)[-1] == ClientGone(f"q{self.count}")
             self.state = "closed"
         elif step == "early" and held:
-            self.say(b"\r\n", "held", b"")  # out of turn: it must neither break nor answer anything
+            self.say(b"\r\n", "held", b"")  # bytes before the answer must neither break nor answer anything
         elif step in ("serve", "refuse", "fail", "overdue") and held:
             query = rig.dispatch.queries[f"q{self.count}"]
             job = query.arrival.job
@@ -244,7 +244,7 @@
     return read_arrival(request, NAMES, SETTINGS)
 
 
-def test_a_jobs_figures_are_read_and_missing_ones_have_their_defaults() -> None:
+def test_the_fields_of_a_job_are_read_and_missing_ones_have_defaults() -> None:
     told = arrival(
         tenant=b"familie",
         cookie=b"x=1; k=abc",
@@ -259,7 +259,7 @@
         arrival(request_id=b"x" * 257)
 
 
-def test_an_id_that_is_still_here_is_refused_as_a_conflict(rig: Rig) -> None:
+def test_an_id_that_is_still_in_use_is_refused_as_a_conflict(rig: Rig) -> None:
     one, two = rig.client()[0], rig.client()[0]
     one.send(request("same"))
     rig.settle()
@@ -268,7 +268,7 @@
     assert (read(two) or b"").startswith(b"HTTP/1.1 409") and rig.dispatch.open == 1
 
 
-def test_a_body_in_chunks_after_continue_arrives_whole(rig: Rig) -> None:
+def test_a_chunked_body_after_continue_is_received_completely(rig: Rig) -> None:
     far, _ = rig.client()
     far.send(
         b"POST /menu-plan HTTP/1.1\r\nHost: x\r\nRequest-Id: a\r\nExpect: 100-continue\r\n"
@@ -290,14 +290,14 @@
 
 
 @pytest.mark.parametrize("said", [b"", b"POST /menu", b"\r\n", request("a", bytes(50))[:-40]])
-def test_a_first_request_has_to_be_whole_within_three_seconds_of_connecting(rig: Rig, said: bytes) -> None:
-    """Trickled or not, and counted from the connection: such clients are owed an end within 3 s."""
+def test_a_first_request_must_be_complete_within_three_seconds_of_connecting(rig: Rig, said: bytes) -> None:
+    """The time counts from the accept, and also if the bytes trickle in."""
     far, _ = rig.client()
     rig.settle(2_000.0)
     far.send(said)
     rig.settle()
     rig.settle(400.0)
-    far.send(said[:0] or b"\r\n")  # still trickling
+    far.send(said[:0] or b"\r\n")  # more bytes trickle in
     rig.settle()
     rig.settle(101.0)
     end = read(far)
@@ -305,8 +305,8 @@
     assert not rig.dispatch.open and read(far) is None
 
 
-def test_a_used_connection_may_stand_idle_but_not_be_slow(rig: Rig) -> None:
-    """Usual clients keep their connections; closing one costs them."""
+def test_a_used_connection_may_be_idle_but_its_next_request_must_not_be_slow(rig: Rig) -> None:
+    """Most clients keep their connections, and lose time if one is closed."""
     far, _ = rig.client()
     ready(rig, far)
     rig.settle(60_000.0)
@@ -319,7 +319,7 @@
 
 
 def test_the_error_reaches_a_client_that_still_sends_a_huge_body(rig: Rig) -> None:
-    """Closing on unread bytes would reset the answer away; reading them all at once would hold the loop."""
+    """Closing with unread bytes would reset the connection and lose the answer; reading all at once blocks the loop."""
     far, link = rig.client()
     far.send(b"POST /menu-plan HTTP/1.1\r\nHost: x\r\nContent-Length: 62914560\r\n\r\n")
     sent, rounds = 0, 0
@@ -340,7 +340,7 @@
     assert link not in rig.front.lingering and link not in rig.front.links
 
 
-def test_an_exception_of_ours_is_answered_and_leaves_no_query(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unexpected_exception_is_answered_with_500_and_leaves_no_query(monkeypatch: pytest.MonkeyPatch) -> None:
     rig = Rig(monkeypatch)
     far, _ = rig.client()
 
@@ -358,7 +358,7 @@
 
 
 def ready(rig: Rig, *fars: socket.socket) -> None:
-    """Use the connections once: from then on they may stand idle."""
+    """Send a first request on each connection; from then on it may be idle."""
     for far in fars:
         far.send(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     rig.settle()
@@ -367,7 +367,7 @@
 
 
 class Listener:
-    """In the place of the listening socket: gives out what the test queued, or raises it."""
+    """Stands in for the listening socket: accepts sockets that the test queued, or raises the errors it queued."""
 
     def __init__(self) -> None:
         self.queue: list[socket.socket | int] = []
@@ -383,8 +383,8 @@
         return item, None
 
 
-def comes(rig: Rig, listener: Listener) -> socket.socket:
-    """A client that waits at the listener, which looks readable; the client's end."""
+def connect_to(rig: Rig, listener: Listener) -> socket.socket:
+    """Queue a client at the listener, which becomes readable; return the client's end."""
     ours, far = socket.socketpair()
     far.setblocking(False)
     rig.open.append(far)
@@ -399,11 +399,11 @@
     listener, fars = Listener(), []
     rig.front.listener = listener
     rig.open += [listener.far]
-    fars += [comes(rig, listener) for _ in range(count)]
+    fars += [connect_to(rig, listener) for _ in range(count)]
     return rig.front, listener, fars
 
 
-def test_over_the_budget_idle_clients_go_first_and_a_busy_house_sends_away(rig: Rig) -> None:
+def test_at_the_limit_idle_clients_are_closed_and_without_one_new_clients_get_503(rig: Rig) -> None:
     front, _, fars = listening(rig, 3)
     assert front._accept_all()
     ready(rig, *fars)
@@ -413,7 +413,7 @@
     front.listener.queue.append(ours)  # type: ignore[attr-defined]
     assert front._accept_all()
     rig.settle()
-    assert read(fars[0]) is None and len(front.links) == 3  # the longest idle made room
+    assert read(fars[0]) is None and len(front.links) == 3  # the longest idle connection was closed
     for index, held in enumerate([*fars[1:], far]):
         held.send(request(f"q{index}"))
     rig.settle()
@@ -429,7 +429,7 @@
 
 
 @pytest.mark.parametrize("said, gone", [(b"", None), (b"POST /menu", None), (b"POST / nonsense\r\n\r\n", b"400")])
-def test_silent_half_and_bad_clients_give_way_before_those_that_were_served(
+def test_silent_stalled_and_bad_clients_are_closed_before_those_that_were_served(
     rig: Rig, said: bytes, gone: bytes | None
 ) -> None:
     front, listener, fars = listening(rig, 3)
@@ -447,8 +447,8 @@
     assert read(fars[2]) is None and read(fars[0]) == b"" and len(front.links) == 3
 
 
-def test_who_has_only_just_connected_does_not_give_way(rig: Rig) -> None:
-    """Its first request would fail with the connection, while a used one's client comes again."""
+def test_a_client_that_has_just_connected_is_not_closed_for_a_new_one(rig: Rig) -> None:
+    """Its first request would fail with the connection, while the client of a used connection reconnects."""
     front, listener, fars = listening(rig, 3)
     assert front._accept_all()
     ready(rig, fars[0])
@@ -460,8 +460,8 @@
     assert read(fars[0]) is None and read(fars[1]) == b"" and read(fars[2]) == b""
 
 
-def test_many_at_once_are_accepted_in_portions(rig: Rig) -> None:
-    """Who makes room for them closes only in the next round: descriptors must last until then."""
+def test_the_number_of_accepts_in_a_round_is_limited(rig: Rig) -> None:
+    """Connections closed in their favour close only in the next round: descriptors must last until then."""
     front, listener, _ = listening(rig, 2 * front_module.ACCEPTS_PER_ROUND + 1)
     front.max_links = 1_000
     for left in (front_module.ACCEPTS_PER_ROUND + 1, 1, 0):
@@ -471,26 +471,28 @@
 def test_bodies_over_the_budget_are_refused_and_the_others_stay(rig: Rig) -> None:
     one, two = rig.client()[0], rig.client()[0]
     rig.front.max_held_bytes = 100_000
-    rig.front.settings = replace(SETTINGS, retry_after=True, max_retry_after_ms=2_500.0)  # the module's own limit
+    rig.front.settings = replace(
+        SETTINGS, retry_after=True, max_retry_after_ms=2_500.0
+    )  # the policy uses this limit, too
     for far, name in ((one, "one"), (two, "two")):
         far.send(request(name, bytes(60_000)))
         for _ in range(4):
             rig.settle()
     assert b"503" in (answer := read(two) or b"") and b"Retry-After: 2.500\r\n" in answer and read(two) is None
     assert rig.dispatch.open == 1 and rig.front.held_body_bytes == 60_000
-    assert not any(link.side._parts for link in rig.front.lingering)  # what came of it is given up at once
+    assert not any(link.side._parts for link in rig.front.lingering)  # its received part is discarded at once
     rig.dispatch._answer(rig.dispatch.queries["one"], Served(b"x"))
     rig.settle()
     assert b"200" in (read(one) or b"") and rig.front.held_body_bytes == 0
 
 
-def test_a_client_that_goes_on_writing_keeps_its_place_before_one_that_has_stalled(rig: Rig) -> None:
-    """In a crowd 142 of 244 slow requests were cut off, though others had long said nothing."""
+def test_a_stalled_client_is_closed_before_one_that_keeps_writing(rig: Rig) -> None:
+    """Under load 142 of 244 slow requests were cut off, although other clients had long been silent."""
     front, listener, fars = listening(rig, 3)
     assert front._accept_all()
     writer, stalled, silent = fars
     said = request("slow")
-    writer.send(said[:8])  # came first, and its request is under way the longest
+    writer.send(said[:8])  # connected first, and has the oldest unfinished request
     rig.settle(10.0)
     stalled.send(b"POST /menu")
     rig.settle(10.0)
@@ -498,7 +500,7 @@
         rig.settle(front_module.STALLED_MS - 20.0)
         writer.send(said[at : at + 8])
         rig.settle(20.0)
-        far = comes(rig, listener)
+        far = connect_to(rig, listener)
         assert front._accept_all()
         ready(rig, far)
         assert read(gone) is None and read(writer) == b"" and len(front.links) == 3
@@ -507,7 +509,7 @@
     assert rig.dispatch.queries["slow"].open
 
 
-def test_out_of_descriptors_it_sheds_an_idle_client_and_goes_on(rig: Rig) -> None:
+def test_without_descriptors_a_silent_client_is_closed_and_accepting_goes_on(rig: Rig) -> None:
     front, listener, fars = listening(rig, 1)
     assert front._accept_all()
     rig.settle(front_module.NEW_LINK_GRACE_MS)
@@ -519,7 +521,7 @@
     assert front._accept_all() and OVERFLOW_LINKS > 0
 
 
-def test_a_fault_while_accepting_does_not_end_the_accepting(rig: Rig) -> None:
+def test_an_exception_while_accepting_does_not_stop_accepting(rig: Rig) -> None:
     front, listener, _ = listening(rig, 1)
     accept, faults = listener.accept, [ZeroDivisionError()]
 
@@ -538,8 +540,8 @@
     rig.logged.clear()
 
 
-def test_stopping_serves_while_there_is_time_and_ends_when_all_is_answered(rig: Rig) -> None:
-    """Connections were closed 0.5 s after SIGTERM, and the only node of a tier stood still for seconds."""
+def test_a_stopping_node_serves_while_there_is_time_and_ends_when_all_is_answered(rig: Rig) -> None:
+    """Guards against closing connections 0.5 s after SIGTERM, which left a tier of one node unserved for seconds."""
     front, listener, fars = listening(rig, 3)
     assert front._accept_all()
     ready(rig, *fars)
@@ -548,18 +550,18 @@
     rig.settle()
     front.stop()
     rig.settle(2_500.0)
-    late = comes(rig, listener)  # still taken
+    late = connect_to(rig, listener)  # still accepted
     late.send(request("late"))
     fars[1].send(request("kept"))
     rig.settle()
     rig.dispatch._answer(rig.dispatch.queries["kept"], Served(b"x"))
     rig.settle()
-    assert b"close" not in (read(fars[1]) or b"close")  # a connection may be used on
+    assert b"close" not in (read(fars[1]) or b"close")  # the connection stays open
     fars[1].send(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     rig.settle()
     assert b"503" in (read(fars[1]) or b"") and read(fars[1]) is None
     rig.settle(300.0)
-    assert read(fars[2]) is None and not front.stopped  # idle: closed; the others are owed an answer
+    assert read(fars[2]) is None and not front.stopped  # idle ones are closed; the others wait for an answer
     rig.dispatch._answer(rig.dispatch.queries["held"], Served(b"x"))
     rig.settle(SETTINGS.classes[0].deadline_ms)
     for far, status in ((fars[0], b"200"), (late, b"502")):  # the late one has no time left before SIGKILL
@@ -570,7 +572,7 @@
     assert front.stopped
 
 
-def test_who_was_told_off_does_not_hold_up_the_end(rig: Rig) -> None:
+def test_a_lingering_connection_does_not_delay_the_stop(rig: Rig) -> None:
     front, _, fars = listening(rig, 1)
     assert front._accept_all()
     fars[0].send(b"POST / nonsense\r\n\r\n")
@@ -581,7 +583,7 @@
     assert front.stopped
 
 
-def test_what_comes_after_sigterm_is_answered_before_sigkill_may_come(rig: Rig) -> None:
+def test_a_request_after_sigterm_is_answered_before_sigkill_can_come(rig: Rig) -> None:
     front, _, fars = listening(rig, 1)
     assert front._accept_all()
     ready(rig, *fars)
@@ -595,8 +597,8 @@
     assert b"502" in (read(fars[0]) or b"") and not rig.dispatch.open
 
 
-def test_a_lame_duck_serves_for_a_while_then_holds_nobody_and_runs_on(rig: Rig) -> None:
-    """4 s after LAMEDUCK nobody may be held idle; a node that is alone serves as long as that allows."""
+def test_a_lame_duck_serves_for_a_while_then_closes_idle_clients_and_keeps_running(rig: Rig) -> None:
+    """No client may be idle here 4 s after LAMEDUCK; until then a node without others goes on serving."""
     front, listener, fars = listening(rig, 3)
     assert front._accept_all()
     ready(rig, *fars)
@@ -605,7 +607,7 @@
     rig.settle()
     front.lame_duck()
     rig.settle(1_000.0)
-    front.lame_duck()  # the second begins nothing anew
+    front.lame_duck()  # a second call restarts nothing
     fars[1].send(request("kept"))
     rig.settle()
     rig.dispatch._answer(rig.dispatch.queries["kept"], Served(b"x"))
@@ -613,7 +615,7 @@
     assert b"close" not in (read(fars[1]) or b"close")
     rig.settle(600.0)
     assert read(fars[1]) is None and read(fars[2]) is None and read(fars[0]) == b""
-    late = comes(rig, listener)  # sent here all the same: served, and closed
+    late = connect_to(rig, listener)  # connects all the same: it is served, and closed
     late.send(request("late"))
     rig.settle()
     for name, far in (("held", fars[0]), ("late", late)):
@@ -626,7 +628,7 @@
     assert rig.dispatch.end_by_ms == math.inf
 
 
-def test_rejoin_before_the_connections_close_keeps_them(rig: Rig) -> None:
+def test_a_rejoin_before_the_connections_close_keeps_them(rig: Rig) -> None:
     front, _, fars = listening(rig, 1)
     assert front._accept_all()
     ready(rig, *fars)
@@ -639,8 +641,8 @@
     assert (read(fars[0]) or b"").startswith(b"HTTP/1.1 200") and not front.stopped
 
 
-def test_a_second_front_needs_only_the_dispatch(rig: Rig) -> None:
-    """Whatever protocol it speaks, a front hands in a query and hears one answer; no HTTP is involved."""
+def test_a_front_of_another_protocol_needs_only_the_dispatch(rig: Rig) -> None:
+    """A front submits a query and receives one answer; no HTTP is involved."""
 
     def refuse(event: Event) -> list[Action]:
         return [Refuse(event.job, 5.0)] if isinstance(event, JobArrived) else []
@@ -659,10 +661,10 @@
         ((300.0, 800.0), (b"menu-plan", b"slot-book"), 1_500.0),
     ],
 )
-def test_sigkill_is_reckoned_from_the_classes_that_are_named_when_sigterm_comes(
+def test_the_time_of_sigkill_is_computed_from_the_classes_configured_at_sigterm(
     rig: Rig, deadlines: tuple[float, float], named: tuple[bytes, ...], killed_ms: float
 ) -> None:
-    """A class that had vanished at SIGHUP still counted: with its deadline the node served on until it was killed."""
+    """Guards against counting a class that a SIGHUP removed: with its deadline the node served until it was killed."""
     front, _, _ = listening(rig, 0)
     front.settings = replace(SETTINGS, classes=tuple(api.JobClass(deadline_ms=ms) for ms in deadlines))
     front.names = replace(NAMES, classes={name: NAMES.classes[name] for name in named})
@@ -671,7 +673,7 @@
     assert front.duty.end_by_ms < front.duty.gone_by_ms < rig.time + killed_ms == front.duty.end_by_ms + 200.0
 
 
-def test_a_client_that_does_not_take_its_answer_does_not_hold_up_the_end(rig: Rig) -> None:
+def test_a_client_that_does_not_read_its_answer_does_not_delay_the_stop(rig: Rig) -> None:
     front, _, fars = listening(rig, 1)
     assert front._accept_all()
     fars[0].send(request("a"))
--- a/tests/test_host_group.py
+++ b/tests/test_host_group.py
@@ -1,4 +1,4 @@
-"""Discovery's list and its watch: a model of the list against random changes, and each way a watch dies."""
+"""The worker list and its watch: a model checked against random changes, and each way in which a watch ends."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 )
 
 
-def said(rev: int, whole: bool, *rows: dict[str, object]) -> bytes:
+def list_object(rev: int, whole: bool, *rows: dict[str, object]) -> bytes:
     return chunk(json.dumps({"rev": rev, "all": whole, "targets": rows}).encode() + b"\n")
 
 
-def test_a_row_is_read_under_the_modules_names() -> None:
+def test_a_row_is_translated_to_the_policys_names() -> None:
     worker, where = read_row(ROW | {"boot_ms": 1_790_000_000_000}, NAMES)
     assert worker == Worker("s-1", State.SERVING, 0, 1, 3, 1.5, 1_790_000_000_000.0)
     assert where == ("127.1.0.1", 8443) and read_row(ROW, NAMES)[0].started_ms == 0
@@ -50,7 +50,7 @@
     "change",
     [{"uid": None, "endpoint": 5}, {"state": "asleep"}, {"endpoint": "nowhere"}, {"boot_ms": "then"}, {"az": []}],
 )
-def test_a_broken_row_is_left_out_and_the_others_count(rig: Rig, change: dict[str, object]) -> None:
+def test_an_unreadable_row_is_skipped_and_the_others_are_applied(rig: Rig, change: dict[str, object]) -> None:
     with pytest.raises(BadRow):
         read_row(ROW | change, NAMES)
     rig.group.start({"rev": 1, "all": True, "targets": [ROW | change, ROW, None]})
@@ -84,7 +84,7 @@
                 model[f"s-{port}"] = ("127.1.0.1", 9_000 + port)
                 if state == "terminated":
                     del model[f"s-{port}"]
-            data = said(
+            data = list_object(
                 number,
                 whole,
                 *(
@@ -92,7 +92,7 @@
                     for port, state in rows
                 ),
             ) + chunk(b"\n")
-            for part in (data[:cut], data[cut:]):  # however the bytes fall
+            for part in (data[:cut], data[cut:]):  # wherever the bytes are split
                 rig.dialled[0].send(part)
                 rig.settle()
             assert rig.group.addresses == rig.pool.addresses == model and rig.group.version == number
@@ -112,7 +112,7 @@
 @DERANDOMISED
 @given(steps=STEPS)
 def test_workers_taken_out_stay_out_whatever_the_list_says(steps: list[tuple[str, int, str, bool]]) -> None:
-    """What the module has been told last of each worker, against a model of list and calls."""
+    """Compares the last state reported to the policy for each worker with a model of the list and the calls."""
     with pytest.MonkeyPatch.context() as patch:
         rig = Rig(patch)
         listed: dict[str, tuple[str, float]] = {}
@@ -149,12 +149,12 @@
             for name, (told, boot) in listed.items():
                 serving = told == "in_service" and name not in out
                 assert (module[name].state is State.SERVING) == serving
-                if serving:  # as cold as it can be after a restart that discovery may not have told yet
+                if serving:  # cold, even if discovery has not listed the restart yet
                     assert module[name].started_ms >= max(boot, cold.get(name, 0.0))
         rig.close()
 
 
-def test_a_worker_out_loses_its_idle_links_and_a_second_call_is_no_news(rig: Rig) -> None:
+def test_detaching_a_worker_closes_its_idle_links_and_a_second_call_changes_nothing(rig: Rig) -> None:
     rig.group.start({"rev": 1, "all": True, "targets": [ROW]})
     rig.query("a")
     rig.script.on_event = lambda event: ()
@@ -185,7 +185,7 @@
         (None, "watch-silent"),
     ],
 )
-def test_a_dead_watch_is_failed_once(rig: Rig, reply: bytes | None, ending: str) -> None:
+def test_a_watch_that_ends_is_reported_as_failed_once(rig: Rig, reply: bytes | None, ending: str) -> None:
     rig.group.watch()
     rig.settle()
     if reply is None:
@@ -204,7 +204,7 @@
     assert rig.counters.counts[f"watch.{ending}"] == 1
 
 
-def test_a_refused_call_is_failed_and_a_running_watch_is_not_begun_again(rig: Rig) -> None:
+def test_a_refused_watch_is_reported_as_failed_and_a_running_one_is_not_restarted(rig: Rig) -> None:
     rig.next_refuses = True
     rig.group.watch()
     rig.settle()
@@ -214,7 +214,7 @@
     rig.settle()
     rig.group.watch()
     rig.settle()
-    rig.dialled[1].send(HEAD + said(9, True, ROW))
+    rig.dialled[1].send(HEAD + list_object(9, True, ROW))
     rig.settle()
     assert len(rig.dialled) == 2
     assert [change.listing for change in rig.script.of(WorkersChanged)] == [Listing.FAILED, Listing.FULL]
@@ -224,8 +224,8 @@
 
 
 @pytest.mark.parametrize("old", ["running", "dialling", "ready to read", "not begun"])
-def test_a_move_begins_a_new_watch_and_the_old_ones_end_is_not_the_modules(rig: Rig, old: str) -> None:
-    """Discovery moves under SIGHUP: the list stays, and the module hears of no failure."""
+def test_a_move_starts_a_new_watch_and_does_not_report_the_end_of_the_old_one(rig: Rig, old: str) -> None:
+    """SIGHUP with another discovery address keeps the list and reports no failure to the policy."""
     rig.group.start({"rev": 7, "all": True, "targets": [ROW]})
     rig.next_hangs = old == "dialling"
     if old != "not begun":
@@ -233,28 +233,30 @@
         rig.settle()
     rig.next_hangs = False
     if old == "ready to read":
-        rig.dialled[0].send(HEAD + said(8, True))
+        rig.dialled[0].send(HEAD + list_object(8, True))
     rig.group.move(MOVED)
-    rig.group.move(MOVED)  # the same again is no news
+    rig.group.move(MOVED)  # the same address again changes nothing
     rig.settle()
     new = rig.dialled[-1]
     assert len(rig.dialled) == (1 if old == "not begun" else 2) and rig.group.addresses
     request = read(new) or b""
-    assert b"Host: 127.0.0.1:2\r\n" in request and b"since" not in request  # another's version says nothing
+    assert (
+        b"Host: 127.0.0.1:2\r\n" in request and b"since" not in request
+    )  # versions of another address mean nothing here
     if old != "not begun":
         rig.dialled[0].setblocking(False)
         while read(rig.dialled[0]):
             pass
         assert read(rig.dialled[0]) is None and rig.counters.counts["watch.watch-replaced"] == 1
-    new.send(HEAD + said(1, True, ROW))
+    new.send(HEAD + list_object(1, True, ROW))
     rig.settle(2_000.0)
-    rig.group.watch()  # asked for before the move: it runs already
+    rig.group.watch()  # asked for before the move: a watch is already running
     rig.settle()
     assert [change.listing for change in rig.script.of(WorkersChanged)] == [Listing.CACHED, Listing.FULL]
     assert rig.group.version == 1 and len(rig.dialled) == (1 if old == "not begun" else 2)
     new.close()
     rig.settle()
-    assert rig.script.of(WorkersChanged)[-1].listing is Listing.FAILED  # the new one's end is
+    assert rig.script.of(WorkersChanged)[-1].listing is Listing.FAILED  # the end of the new watch is reported
 
 
 def test_several_moves_in_a_row_leave_one_watch(rig: Rig) -> None:
@@ -267,7 +269,7 @@
     assert rig.counters.counts["watch.watch-replaced"] == 3 and not rig.script.of(WorkersChanged)
 
 
-def test_a_whole_list_without_entries_to_read_drops_nobody(rig: Rig) -> None:
+def test_a_full_list_without_a_targets_field_drops_no_worker(rig: Rig) -> None:
     rig.group.start({"rev": 7, "all": True, "targets": [ROW]})
     rig.group.watch()
     rig.settle()
@@ -278,40 +280,40 @@
 
 # ---- a list that is pushed
 
-GRACES_MS = (300.0, 120.0)  # of a deployment seen, and a shorter one
+GRACES_MS = (300.0, 120.0)  # the usual drain grace, and a shorter one
 
 
 @pytest.fixture(params=GRACES_MS)
 def pushed(rig: Rig, request: pytest.FixtureRequest) -> Rig:
-    """A node whose list is pushed, with the list it knew before its start."""
+    """A node with a pushed list, started with the list of its last run."""
     rig.group.watch_monitor.pushed, rig.group.watch_monitor.grace_ms = True, request.param
     rig.group.start({"rev": 7, "all": True, "targets": [ROW]})
     rig.settle()
     return rig
 
 
-def test_a_pushed_list_is_followed_from_the_start_though_the_module_never_asks(pushed: Rig) -> None:
+def test_a_pushed_list_is_watched_from_the_start_without_a_request_of_the_policy(pushed: Rig) -> None:
     assert b"GET /api/targets?follow=1&since=7 HTTP/1.1\r\n" in (read(pushed.dialled[0]) or b"")
-    pushed.dialled[0].send(HEAD + said(8, False, ROW | {"state": "terminating"}))
+    pushed.dialled[0].send(HEAD + list_object(8, False, ROW | {"state": "terminating"}))
     pushed.settle()
     [_, drains] = pushed.script.of(WorkersChanged)
     assert drains.listing is Listing.DELTA and drains.workers[0].state is State.DRAINING
 
 
 @pytest.mark.parametrize("end", ["closed", "refused", "broken", "silent", "never answers", "silent from the start"])
-def test_a_pushed_lists_watch_is_back_within_a_drains_grace_and_the_module_hears_of_no_failure(
+def test_the_watch_of_a_pushed_list_is_restarted_within_the_drain_grace_without_a_reported_failure(
     pushed: Rig, end: str
 ) -> None:
     agent = pushed.dialled[0]
     if end == "refused":
         agent.send(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
     elif end != "silent from the start":
-        agent.send(HEAD + said(8, False, ROW))
+        agent.send(HEAD + list_object(8, False, ROW))
     if end == "broken":
         agent.send(chunk(b"{broken\n"))
     elif end == "closed":
         agent.close()
-    elif end == "never answers":  # silent, and it drops the calls that come meanwhile
+    elif end == "never answers":  # silent, and it drops the calls that it gets meanwhile
         for _ in range(8):
             pushed.settle(PUSHED_SILENCE_TIMEOUT_MS)
             pushed.settle(MAX_RETRY_DELAY_MS)
@@ -320,35 +322,35 @@
     if end == "silent":
         pushed.settle(PUSHED_SILENCE_TIMEOUT_MS)
         pushed.settle(MAX_RETRY_DELAY_MS)
-    else:  # whenever the agent is back: the call that it has dropped ends, and the next one comes, within the grace
+    else:  # the dropped call times out and the next one follows within the grace
         for _ in range(int(0.95 * grace_ms)):
             if len(pushed.dialled) == dialled:
                 pushed.settle(1.0)
     assert len(pushed.dialled) > dialled
     request = read(pushed.dialled[-1]) or b""
     assert (b"since=7" if end in ("refused", "silent from the start") else b"since=8") in request
-    pushed.dialled[-1].send(HEAD + said(9, False, ROW | {"state": "terminated"}))
+    pushed.dialled[-1].send(HEAD + list_object(9, False, ROW | {"state": "terminated"}))
     pushed.settle()
     assert Listing.FAILED not in [change.listing for change in pushed.script.of(WorkersChanged)]
     assert not pushed.group.addresses
 
 
 @pytest.mark.parametrize("is_pushed", [True, False])
-def test_a_list_that_nobody_keeps_up_is_said_once_and_so_is_its_end(rig: Rig, is_pushed: bool) -> None:
+def test_a_stale_list_is_logged_once_and_so_is_its_recovery(rig: Rig, is_pushed: bool) -> None:
     rig.group.watch_monitor.pushed, rig.next_refuses = is_pushed, True
     rig.group.start({"rev": 7, "all": True, "targets": [ROW]})
-    told = lambda word: [fields for event, fields in rig.logged if event == "list" and word in fields]  # noqa: E731
+    logged = lambda word: [fields for event, fields in rig.logged if event == "list" and word in fields]  # noqa: E731
     rig.settle(STALE_AFTER_MS - 1.0)
-    assert not told("stale")
+    assert not logged("stale")
     for _ in range(20):
         rig.settle(1_000.0)
-    assert len(told("stale")) == rig.counters.counts["list.stale"] == 1 and not told("fresh")
+    assert len(logged("stale")) == rig.counters.counts["list.stale"] == 1 and not logged("fresh")
     rig.next_refuses = False
     rig.group.watch()
     rig.settle(MAX_RETRY_DELAY_MS)
     rig.dialled[-1].send(HEAD + chunk(b"\n"))
     rig.settle()
-    assert len(told("fresh")) == 1
+    assert len(logged("fresh")) == 1
     for _ in range(20):
         rig.settle(1_000.0)
         rig.dialled[-1].send(chunk(b"\n"))
@@ -360,7 +362,7 @@
 @given(
     steps=st.lists(st.tuples(st.sampled_from(["line", "end", "wait", "refuse"]), st.floats(1.0, 3_000.0)), max_size=30)
 )
-def test_a_pushed_list_always_has_a_watch_or_a_timer_that_begins_one(steps: list[tuple[str, float]]) -> None:
+def test_a_pushed_list_always_has_a_watch_or_a_timer_that_starts_one(steps: list[tuple[str, float]]) -> None:
     with pytest.MonkeyPatch.context() as patch:
         rig = Rig(patch)
         rig.group.watch_monitor.pushed = True
@@ -378,14 +380,14 @@
         rig.settle(MAX_RETRY_DELAY_MS)
         before = len(rig.dialled)
         assert rig.group._watch_task is not None
-        rig.settle(PUSHED_SILENCE_TIMEOUT_MS)  # the agent says nothing: whatever it was, that watch is over
+        rig.settle(PUSHED_SILENCE_TIMEOUT_MS)  # without a byte from the agent that watch has ended
         rig.settle(MAX_RETRY_DELAY_MS)
         assert len(rig.dialled) > before and rig.group._watch_task is not None
         rig.close()
         assert not rig.crashes
 
 
-def test_a_reload_to_a_pushed_list_begins_the_watch_and_back_leaves_its_end_to_the_module(rig: Rig) -> None:
+def test_a_reload_to_a_pushed_list_starts_a_watch_and_a_reload_back_reports_its_end_to_the_policy(rig: Rig) -> None:
     rig.group.start({"rev": 7, "all": True, "targets": [ROW]})
     rig.settle(1_000.0)
     assert not rig.dialled
--- a/tests/test_server_link.py
+++ b/tests/test_server_link.py
@@ -1,4 +1,4 @@
-"""A model of a server link's states, checked against random steps; then its single guards."""
+"""Server links: a state model checked against random steps, then tests of single rules."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def rig(rig: Rig) -> Rig:
-    """The shared rig, whose module sends every job to w0."""
+    """The shared rig with a policy that sends every job to w0."""
     rig.script.on_event = lambda event: [Send(event.job, "w0")] if isinstance(event, JobArrived) else []
     return rig
 
@@ -55,7 +55,7 @@
 
 
 class Model:
-    """What a link to w0 should be: no link, idle, sent, or streaming; and what the last query must get."""
+    """Expected state of the link to w0 (none, idle, sent, streaming or tail) and expected results of its queries."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig, self.state, self.count = rig, "none", 0
@@ -122,7 +122,7 @@
                 rig.settle()
                 rig.script.on_event = lambda event: [Send(event.job, "w0")] if isinstance(event, JobArrived) else []
             rig.settle(5_000.0 if step == "deadline" else 0.0)
-            assert read(self.far) is None  # giving up is closing
+            assert read(self.far) is None  # an abandoned execution closes its link
             self.end(Result.TIMEOUT if step == "deadline" else Result.CANCELLED, "none")
 
     def say(self, data: bytes, state: str) -> None:
@@ -163,9 +163,9 @@
     rig.settle()
 
 
-def test_a_worker_that_closed_an_idle_link_costs_a_new_one_and_no_execution(rig: Rig) -> None:
+def test_an_idle_link_closed_by_its_worker_is_replaced_without_a_failed_execution(rig: Rig) -> None:
     serve(rig, "a")
-    rig.dialled[0].close()  # unseen as yet: no round has run
+    rig.dialled[0].close()  # not noticed yet: no round has run
     serve(rig, "b")
     assert len(rig.dialled) == 2 and rig.script.of(AttemptEnded)[-1].result is Result.OK
 
@@ -184,7 +184,7 @@
     assert read(rig.dialled[1]) is None and not rig.pool.links
 
 
-def test_a_connection_that_does_not_come_up_never_ran(rig: Rig) -> None:
+def test_a_connect_timeout_is_reported_as_connect_failed(rig: Rig) -> None:
     rig.next_hangs = True
     rig.query("a")
     rig.settle()
@@ -210,7 +210,7 @@
     assert not rig.pool.links and read(rig.dialled[0]) is not None and read(rig.dialled[0]) is None
 
 
-def test_links_stay_within_their_budget_by_closing_idle_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_links_are_closed_to_stay_within_the_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     rig = Rig(monkeypatch, most_links=1)
     worker = {"a": "w0", "b": "w1", "c": "w0"}
     rig.script.on_event = lambda event: [Send(event.job, worker[event.job])] if isinstance(event, JobArrived) else []
@@ -222,22 +222,22 @@
     rig.close()
 
 
-def test_idle_times_after_which_links_break_are_learned_and_tried_again_later() -> None:
-    """Workers closed idle links unseen after 0.1 s, long before the stated 15 s: each was a reset."""
+def test_idle_times_after_which_links_break_are_avoided_and_tried_again_later() -> None:
+    """Guards against resets by workers that close idle links after 0.1 s, long before the configured 15 s."""
     reuse = ReuseHistory()
     reuse.record_use(0.0, 150.0, broke=True)
-    assert reuse.is_reusable(0.0, 10_000.0)  # one is chance
+    assert reuse.is_reusable(0.0, 10_000.0)  # a single break decides nothing
     for _ in range(2):
         reuse.record_use(0.0, 150.0, broke=True)
         reuse.record_use(0.0, 40.0, broke=False)
     assert not reuse.is_reusable(0.0, 150.0) and not reuse.is_reusable(0.0, 10_000.0) and reuse.is_reusable(0.0, 100.0)
     assert not reuse.is_reusable(5_000.0, 150.0) and reuse.is_reusable(30_000.0, 150.0)
     for _ in range(20):
-        reuse.record_use(0.0, 5.0, broke=True)  # no idle time explains these
+        reuse.record_use(0.0, 5.0, broke=True)  # too short an idle time to be the cause
     assert reuse.is_reusable(0.0, 50.0)
 
 
-def test_links_that_break_now_and_then_are_used_on() -> None:
+def test_links_that_break_rarely_are_still_reused() -> None:
     reuse = ReuseHistory()
     for number in range(400):
         reuse.record_use(0.0, 100.0, broke=number % 20 == 0)
@@ -251,7 +251,7 @@
         rig.settle(200.0)
         rig.query(name + "-again")
         rig.settle()
-        rig.dialled[-1].close()  # it takes the request and breaks
+        rig.dialled[-1].close()  # it receives the request and then breaks
         rig.settle()
     assert rig.counters.counts["link.reused-broken"] == 2 == len(rig.dialled)
     serve(rig, "d")
@@ -262,8 +262,8 @@
 
 
 @pytest.mark.parametrize("heard", [False, True])
-def test_a_silent_execution_closes_the_idle_links_that_were_silent_as_long(rig: Rig, heard: bool) -> None:
-    """A worker that is cut off took one unsafe job after the other on links that were open and dead."""
+def test_an_unanswered_execution_closes_idle_links_that_were_silent_since_it_was_sent(rig: Rig, heard: bool) -> None:
+    """Guards against sending unsafe jobs, one after the other, on open but dead links to a cut-off worker."""
     rig.query("a")
     rig.query("b")
     rig.settle()
@@ -271,7 +271,7 @@
         read(far)
         far.send(HEAD + line("done", name, result="x") + END)
         rig.settle(1.0)
-    rig.query("c", patience_ms=1_000.0)  # on the newest
+    rig.query("c", patience_ms=1_000.0)  # on the most recently used link
     rig.settle()
     if heard:
         rig.query("d")
@@ -305,7 +305,7 @@
     assert probe.report == ({"queued": 3.0, "latency_ms": 7.0} if result is Result.OK else None)
 
 
-def test_only_endings_before_the_last_byte_promise_that_the_job_never_ran() -> None:
+def test_only_end_reasons_before_the_last_byte_promise_that_the_job_never_ran() -> None:
     before = {
         EndReason.HANDED_BACK,
         EndReason.NO_ADDRESS,
@@ -316,12 +316,12 @@
         EndReason.NEVER_SENT,
         EndReason.TAKEN_BACK,
     }
-    # PROVED_UNPRINTED is a printer's own word, asked for afterwards; tests/test_ipp_print.py holds it to the ledger.
+    # PROVED_UNPRINTED is reported by the printer afterwards; test_ipp_print.py checks it against what was printed.
     proved = {EndReason.PROVED_UNPRINTED}
-    assert {ending for ending, result in RESULT_BY_END_REASON.items() if result in NEVER_RAN} == before | proved
+    assert {reason for reason, result in RESULT_BY_END_REASON.items() if result in NEVER_RAN} == before | proved
 
 
-def test_reports_come_under_the_modules_names() -> None:
+def test_load_reports_use_the_policys_names() -> None:
     assert read_report_header(b"latency_ms=14.5, queue=3,x0=0.4,odd=x") == {
         "latency_ms": 14.5,
         "queued": 3.0,
