--- a/pipitledge/node/dispatch.py
+++ b/pipitledge/node/dispatch.py
@@ -262,9 +262,7 @@
 
     def _send(self, action: api.Send) -> None:
         query, now = self.queries.get(action.job), self.clock.now()
-        if (
-            query is None
-        ):  # impossible while queries are kept until the end of the round; reported to the policy all the same
+        if query is None:  # not expected, as queries are kept until the end of the round; reported all the same
             self.log("fault", where="send", query=action.job)
             self.events.append(api.AttemptEnded(action.job, 0, action.worker, api.Result.MOOT, 0.0, True))
             return
--- a/pipitledge/node/front.py
+++ b/pipitledge/node/front.py
@@ -62,7 +62,7 @@
     if job_class is None:
         raise BadMessage(404, "no such class")
     if request.method != b"POST":
-        raise BadMessage(405, "jobs come by POST")
+        raise BadMessage(405, "jobs must be sent by POST")
     # Values forwarded to workers: present if required, and of visible characters only.
     for name, needed in (
         (b"request-id", True),
@@ -163,9 +163,8 @@
             self.front.partial_requests.pop(self, None)
             if end_reason is EndReason.PASSED_ON and self.front.successor is not None:
                 self.front.successor(self.stream.sock, self.used)
-            if (
-                end_reason is EndReason.BAD_REQUEST
-            ):  # only then: an idle connection that is shed must free its descriptor at once
+            # Only after a bad request: an idle connection that is shed must free its descriptor at once.
+            if end_reason is EndReason.BAD_REQUEST:
                 self.front.lingering[self] = None
                 self.stream.linger(self.front.clock.now() + LINGER_TIMEOUT_MS)
             self.stream.close()
@@ -268,9 +267,8 @@
         if request.target == b"/-/ready" and request.method == b"GET":
             ready = front.duty.is_ready and front.admits()
             return self.side.answer(200 if ready else 503, b"", close=not ready)
-        if (
-            refused := front.refuses()
-        ) is not None:  # before names are looked up, as the configuration here may be outdated
+        # Checked before names are looked up, as the configuration of this node may be outdated.
+        if (refused := front.refuses()) is not None:
             return answer_parts(self.side, refused, self._closes_after_answer())
         arrival = read_arrival(request, front.names, front.settings)
         if (plan := front.plan_of(arrival.job_class, request.target)) is not UNLIMITED:
@@ -363,9 +361,8 @@
         self.on_stage_change: Callable[[], None] = lambda: None  # called when the duty stage changes
         self.stopped: bool = False
         self.on_stopped: Callable[[], None] = scheduler.stop
-        self.successor: Callable[[socket.socket, bool], None] | None = (
-            None  # receives connections without a request in progress
-        )
+        # Hands a connection without a request in progress over to the node's new process; None if there is none.
+        self.successor: Callable[[socket.socket, bool], None] | None = None
         self.listener = listener
         self.accepting = scheduler.spawn(self._accept)
 
@@ -458,7 +455,7 @@
         Clients use their connections for as long as these stay open, and a tier may have only one node. Then a
         connection that is closed early can't be replaced by one to another node before the restart.
         """
-        # Only classes in the current configuration count: the time of SIGKILL does not allow for a removed class.
+        # Only classes of the current configuration: whoever sends SIGKILL does not wait for a removed class.
         longest = max(self.settings.classes[number].deadline_ms for number in self.names.classes.values())
         if self.duty.stop(self.clock.now(), longest):
             self._apply_stage()
--- a/pipitledge/node/host_group.py
+++ b/pipitledge/node/host_group.py
@@ -276,9 +276,9 @@
         if not stream.write(request, self.clock.now() + self.watch_monitor.silence_timeout_ms(False)):
             return EndReason.WATCH_SILENT
         side, objects = WorkerSide(1 << 60, 0), Objects(MAX_OBJECT_BYTES)
-        heard_ms, answered = self.clock.now(), False
+        last_line_ms, answered = self.clock.now(), False
         while side.is_open:
-            until = heard_ms + self.watch_monitor.silence_timeout_ms(answered)
+            until = last_line_ms + self.watch_monitor.silence_timeout_ms(answered)
             if self.clock.now() >= until:  # also if bytes keep coming without one complete object
                 return EndReason.WATCH_SILENT
             why = stream.readable(until)
@@ -293,9 +293,9 @@
             if side.status not in (0, 200):
                 return EndReason.WATCH_REFUSED
             if side.status and not answered:
-                heard_ms, answered = self.clock.now(), True
+                last_line_ms, answered = self.clock.now(), True
             for message in objects.receive(data):  # an empty line is a heartbeat
-                heard_ms = self.clock.now()
+                last_line_ms = self.clock.now()
                 self.watch_monitor.reset_backoff()
                 self._line_received()
                 if message is not None:
--- a/pipitledge/node/server_link.py
+++ b/pipitledge/node/server_link.py
@@ -24,10 +24,8 @@
 from pipitledge.node.end_reasons import EndReason
 from pipitledge.node.reuse_history import ReuseHistory
 
-MAX_ANSWER_BYTES, MAX_LINE_BYTES = (
-    4 * 1024 * 1024,
-    512 * 1024,
-)  # JSON escapes may make a result of 64 KiB six times as long
+# JSON escapes may make a result of 64 KiB six times as long.
+MAX_ANSWER_BYTES, MAX_LINE_BYTES = 4 * 1024 * 1024, 512 * 1024
 ANSWER_TAIL_TIMEOUT_MS = 250.0  # limit from the result line to the end of the HTTP answer
 PROBE_TIMEOUT_MS = 1_000.0
 IDLE_LIMIT_SHARE, IDLE_MARGIN_MS = 0.8, 1_000.0  # below the workers' idle limit, so that this side closes first
