--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -471,9 +471,8 @@
 def test_bodies_over_the_budget_are_refused_and_the_others_stay(rig: Rig) -> None:
     one, two = rig.client()[0], rig.client()[0]
     rig.front.max_held_bytes = 100_000
-    rig.front.settings = replace(
-        SETTINGS, retry_after=True, max_retry_after_ms=2_500.0
-    )  # the policy uses this limit, too
+    # The policy advises no longer wait than this, either.
+    rig.front.settings = replace(SETTINGS, retry_after=True, max_retry_after_ms=2_500.0)
     for far, name in ((one, "one"), (two, "two")):
         far.send(request(name, bytes(60_000)))
         for _ in range(4):
