--- a/pipitledge/__main__.py
+++ b/pipitledge/__main__.py
@@ -14,7 +14,7 @@
 from pipitledge.net.scheduler import Scheduler
 from pipitledge.net.timers import Clock, Timers
 from pipitledge.node import config
-from pipitledge.node.budget import bodies, budget
+from pipitledge.node.budget import budget, max_held_body_bytes
 from pipitledge.node.console import Console
 from pipitledge.node.counters import Counters, Log, log_writer
 from pipitledge.node.dispatch import Dispatch
@@ -169,7 +169,7 @@
         current.settings,
         listener,
         clients,
-        bodies(current.memory_mb),
+        max_held_body_bytes(current.memory_mb),
     )
     front.plan_of = plans.plan
     operations = Operations(dispatch, group, front, succession.ask_others)
@@ -230,8 +230,8 @@
         name=current.name,
         listen="{}:{}".format(*current.listen),
         workers=len(group.addresses),
-        clients=front.most,
-        links=pool.most,
+        clients=front.max_links,
+        links=pool.max_links,
         claimed=claimed is not None,
     )
     gc.collect()
