--- a/pipitledge/node/end_reasons.py
+++ b/pipitledge/node/end_reasons.py
@@ -50,9 +50,9 @@
     WATCH_REPLACED = "watch-replaced"
 
 
-# Result that the policy receives for each reason; nothing else maps reasons to results. FULL, CONNECT_FAILED and NOT_SENT
-# promise that the job never ran. So only reasons that apply before the request's last byte was written may map to them,
-# or reasons for which the worker itself has proved that the job did not run.
+# Result that the policy receives for each reason; nothing else maps reasons to results. FULL, CONNECT_FAILED and
+# NOT_SENT promise that the job never ran. So only reasons that apply before the request's last byte was written may map
+# to them, or reasons for which the worker itself has proved that the job did not run.
 RESULT_BY_END_REASON = {
     EndReason.SERVED: Result.OK,
     EndReason.WORKER_FAILED: Result.ERROR,
