--- a/pipitledge/adapter.py
+++ b/pipitledge/adapter.py
@@ -81,7 +81,7 @@
 
 def _note(fields: Fields) -> api.Event:
     fraction = float(fields.get("amount", 0.0)) if fields.get("sort") == "2" else 0.0
-    return api.AttemptProgress(fields["ticket"], int(fields.get("trial", 0)), fields["worker"], fraction)
+    return api.AttemptNote(fields["ticket"], int(fields.get("trial", 0)), fields["worker"], fraction)
 
 
 def _probe_done(fields: Fields) -> api.Event:
--- a/pipitledge/decision/estimates.py
+++ b/pipitledge/decision/estimates.py
@@ -56,7 +56,7 @@
         """Return the record of a job that arrives now: its expected running time, slack and latest useful start."""
         cls, size = settings.classes[event.job_class], self.size_ms(event)
         # For a client's own retry, the time objective counts from its first request.
-        first_request = now_ms - (max(0.0, cls.deadline_ms - event.timeout_ms) if event.is_retry else 0.0)
+        first_request = now_ms - (max(0.0, cls.deadline_ms - event.patience_ms) if event.is_retry else 0.0)
         allowance = max(0.0, cls.stretch - 1.0) * size
         # The factor 1.5 allows for jobs that are longer than expected.
         slack, latest = cls.objective_ms + allowance, first_request + cls.objective_ms + 1.5 * allowance
--- a/pipitledge/decision/interface.py
+++ b/pipitledge/decision/interface.py
@@ -305,12 +305,12 @@
 
 
 class JobArrived(NamedTuple):
-    """A job arrived; it needs exactly one final answer within timeout_ms."""
+    """A job arrived; it needs exactly one final answer within patience_ms."""
 
     job: str
     job_class: int = 0
     tenant: int = 0
-    timeout_ms: float = 0.0
+    patience_ms: float = 0.0
     slots: float = 1.0
     memory: float = 0.0
     hint_ms: float = 0.0  # the client's estimate of the running time; 0: none
@@ -321,7 +321,7 @@
     @property
     def time_limit_ms(self) -> float:
         """How long the job may take: the client's timeout, or less if its plan says so."""
-        return min(self.timeout_ms, self.plan.total_ms)
+        return min(self.patience_ms, self.plan.total_ms)
 
 
 class AttemptEnded(NamedTuple):
@@ -336,7 +336,7 @@
     report: Mapping[str, float] | None = None
 
 
-class AttemptProgress(NamedTuple):
+class AttemptNote(NamedTuple):
     """An attempt has started (fraction 0), or has done this fraction of its work."""
 
     job: str
@@ -372,11 +372,11 @@
     settings: Settings
 
 
-class EstimatesRestored(NamedTuple):
+class Inherited(NamedTuple):
     """Estimates taken over from another process of this scheduler; the worker list has been received before."""
 
-    by_index: tuple[list[float], list[float], list[float], list[float]]  # run_ms, per_hint, slots, kind_slowness
-    scalars: tuple[float, float, float]  # spill, fleet_failures, dead
+    by_number: tuple[list[float], list[float], list[float], list[float]]  # run_ms, per_hint, slots, kind_slowness
+    figures: tuple[float, float, float]  # spill, fleet_failures, dead
     workers: Mapping[str, Mapping[str, float]]
 
 
@@ -384,12 +384,12 @@
     WorkersChanged
     | JobArrived
     | AttemptEnded
-    | AttemptProgress
+    | AttemptNote
     | ClientGone
     | ProbeEnded
     | TimerFired
     | SettingsChanged
-    | EstimatesRestored
+    | Inherited
 )
 
 
@@ -621,7 +621,7 @@
 class Jobs(dict[str, JobRecord]):
     """The jobs that are open or still have outstanding attempts, by id."""
 
-    def find_attempt(self, event: AttemptEnded | AttemptProgress) -> tuple[JobRecord, AttemptRecord] | None:
+    def find_attempt(self, event: AttemptEnded | AttemptNote) -> tuple[JobRecord, AttemptRecord] | None:
         """Return the records that an event names; None if it is late, repeated or for an unknown job."""
         job = self.get(event.job)
         if job is None or not 0 <= event.attempt < len(job.attempts):
--- a/pipitledge/decision/policy.py
+++ b/pipitledge/decision/policy.py
@@ -18,13 +18,13 @@
     NEVER_RAN,
     Action,
     AttemptEnded,
-    AttemptProgress,
+    AttemptNote,
     AttemptRecord,
     Cancel,
     ClientGone,
-    EstimatesRestored,
     Event,
     Fail,
+    Inherited,
     JobArrived,
     JobRecord,
     Jobs,
@@ -93,13 +93,13 @@
         self.handlers: dict[type, Callable[[Any], None]] = {
             JobArrived: self._arrived,
             AttemptEnded: self._ended,
-            AttemptProgress: self._progressed,
+            AttemptNote: self._progressed,
             ClientGone: self._client_gone,
             ProbeEnded: self._probed,
             WorkersChanged: self._workers_changed,
             TimerFired: self._timer_fired,
             SettingsChanged: self._apply_settings,
-            EstimatesRestored: self._restore,
+            Inherited: self._restore,
         }
         self._apply_settings(SettingsChanged(settings))
 
@@ -113,11 +113,11 @@
         self.objective.apply_settings(self.settings)
         self._assign_shares()
 
-    def _restore(self, event: EstimatesRestored) -> None:
+    def _restore(self, event: Inherited) -> None:
         """Continue from the estimates of another process of this node."""
-        for known, restored in zip(self.estimates.by_index(), event.by_index, strict=True):
+        for known, restored in zip(self.estimates.by_index(), event.by_number, strict=True):
             known[:] = restored
-        self.spill, self.fleet_failures, self.dead = event.scalars
+        self.spill, self.fleet_failures, self.dead = event.figures
         for name in event.workers.keys() & self.workers.keys():
             self.workers[name].restore(event.workers[name])
         self._assign_shares()
@@ -413,7 +413,7 @@
 
     # ---- health
 
-    def _progressed(self, event: AttemptProgress) -> None:
+    def _progressed(self, event: AttemptNote) -> None:
         """Record progress; a start shows whether the worker had a free slot as estimated."""
         if not (found := self.jobs.find_attempt(event)):
             return
--- a/pipitledge/emulator/print_day.py
+++ b/pipitledge/emulator/print_day.py
@@ -208,7 +208,7 @@
                 "served" if isinstance(answer, Served) else "refused" if isinstance(answer, Throttle) else "failed"
             )
 
-        self.dispatch.take(JobArrived(name, timeout_ms=20_000.0), None, heard)
+        self.dispatch.take(JobArrived(name, patience_ms=20_000.0), None, heard)
 
     def submissions(self, count: int, per_s: float) -> None:
         """So many, at random times."""
--- a/pipitledge/ipp/front.py
+++ b/pipitledge/ipp/front.py
@@ -227,7 +227,7 @@
             heard.append(answer)
             task.wake()
 
-        query = front.dispatch.take(JobArrived(str(number), timeout_ms=front.patience_ms), passage, reply)
+        query = front.dispatch.take(JobArrived(str(number), patience_ms=front.patience_ms), passage, reply)
         assert query is not None  # ids are ours
         front.queries[number] = (query, task.wake)
         document.on_room = task.wake
--- a/pipitledge/node/dispatch.py
+++ b/pipitledge/node/dispatch.py
@@ -207,7 +207,7 @@
         if not execution.ended:
             execution.reported_running = True
             self.events.append(
-                api.AttemptProgress(execution.query.arrival.job, execution.number, execution.worker, fraction)
+                api.AttemptNote(execution.query.arrival.job, execution.number, execution.worker, fraction)
             )
 
     def probe_ended(
--- a/pipitledge/upgrade/knowledge.py
+++ b/pipitledge/upgrade/knowledge.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from pipitledge.decision.interface import EstimatesRestored, WorkerRecord
+from pipitledge.decision.interface import Inherited, WorkerRecord
 from pipitledge.decision.policy import Policy
 from pipitledge.node.settings_file import NameIndexes
 
@@ -27,7 +27,7 @@
     return by_name | {what: getattr(policy, what) for what in FIGURES} | {"workers": workers}
 
 
-def inherited(raw: Mapping[str, Any], numbers: NameIndexes, policy: Policy) -> EstimatesRestored | None:
+def inherited(raw: Mapping[str, Any], numbers: NameIndexes, policy: Policy) -> Inherited | None:
     """Read it for a module that has learned nothing yet; None where it can't be read: then it begins anew."""
     try:
         by_number = []
@@ -45,4 +45,4 @@
         }
     except (KeyError, TypeError, ValueError, AttributeError, IndexError):
         return None
-    return EstimatesRestored((run_ms, per_hint, slots, slowness), (spill, failures, dead), workers)
+    return Inherited((run_ms, per_hint, slots, slowness), (spill, failures, dead), workers)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -92,7 +92,7 @@
         return [send for _ in range(count) for send in of_type(self.job(f"s{len(self.all_actions)}", **fields), Send)]
 
     def job(self, name: str, **fields: Any) -> list[Action]:
-        return self.handle(JobArrived(name, **({"timeout_ms": 5_000.0} | fields)))
+        return self.handle(JobArrived(name, **({"patience_ms": 5_000.0} | fields)))
 
     def end(
         self,
--- a/tests/net_helper.py
+++ b/tests/net_helper.py
@@ -142,7 +142,7 @@
 
         passage = ForwardedRequest(b"POST", b"/menu-plan?x=1", b"app.svc", name.encode(), b"key", b"{body}")
         replies = self.answers.setdefault(name, [])
-        arrival = JobArrived(name, timeout_ms=patience_ms, **fields)
+        arrival = JobArrived(name, patience_ms=patience_ms, **fields)
         return self.dispatch.take(arrival, passage, replies.append)
 
     def client(self, over_budget: bool = False, sock: socket.socket | None = None) -> tuple[socket.socket, ClientLink]:
--- a/tests/test_believes.py
+++ b/tests/test_believes.py
@@ -171,7 +171,7 @@
     driver = Driver(settings(classes=(SAFE, UNSAFE), progress_ms=1_000.0), workers=1)
     [send] = of_type(driver.job("a", hint_ms=1_000.0), api.Send)
     for note in range(1, 16):  # 1/80 of a one-second job per 100 ms: eight times slower than expected
-        driver.handle(api.AttemptProgress("a", 0, send.worker, note / 80.0), after_ms=100)
+        driver.handle(api.AttemptNote("a", 0, send.worker, note / 80.0), after_ms=100)
     assert driver.policy.workers["w0"].slowness > 1.0
     assert not of_type(driver.job("b", hint_ms=1_000.0), api.Send)  # it can't be in time there
     driver.policy.workers["w0"].slots_in_use = 0.0
@@ -284,7 +284,7 @@
     assert len(sent) >= 8
     driver.tick(600.0)
     for send in sent:  # the starts were late, as other nodes used the slots
-        driver.handle(api.AttemptProgress(send.job, 0, send.worker))
+        driver.handle(api.AttemptNote(send.job, 0, send.worker))
     driver.tick()
     spilled = sum(attempt.spilled for _, _, attempt in driver.policy.jobs.outstanding())
     assert spilled and (driver.policy.spill == INITIAL_SPILL - spilled) == reports
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -11,7 +11,7 @@
 import pipitledge.decision.free_slots as free_slots_module
 import pipitledge.decision.policy as policy_module
 from pipitledge.decision.interface import (
-    AttemptProgress,
+    AttemptNote,
     Cancel,
     ClientGone,
     Fail,
@@ -111,7 +111,7 @@
 
 def test_without_workers_a_pending_job_is_refused_before_its_timeout() -> None:
     driver = Driver(workers=0)
-    driver.job("a", timeout_ms=300.0)
+    driver.job("a", patience_ms=300.0)
     while driver.now < 1_299 and not of_type(driver.all_actions, Refuse):
         driver.handle(TimerFired(0), after_ms=1)
     assert of_type(driver.all_actions, Refuse) == [Refuse("a")]
@@ -120,7 +120,7 @@
 def test_a_pending_job_gets_a_timer_before_its_timeout() -> None:
     driver = Driver(workers=0)
     driver.handle(TimerFired(0), after_ms=1)
-    actions = driver.job("a", timeout_ms=30.0)
+    actions = driver.job("a", patience_ms=30.0)
     assert min(timer.delay_ms for timer in of_type(actions, SetTimer)) < 30
 
 
@@ -189,7 +189,7 @@
 
 def test_a_timeout_at_the_deadline_is_answered_at_once() -> None:
     driver = Driver()
-    [send] = of_type(driver.job("a", timeout_ms=400.0), Send)
+    [send] = of_type(driver.job("a", patience_ms=400.0), Send)
     assert of_type(driver.end(send, Result.TIMEOUT, after_ms=400), Refuse)
 
 
@@ -460,7 +460,7 @@
     late = JobClass(deadline_ms=50_000, objective_ms=500, late_share=0.3, repeat=SAFE.repeat)
     driver = overloaded(late, late)
     driver.now += 5_000
-    driver.job("fresh", timeout_ms=50_000)
+    driver.job("fresh", patience_ms=50_000)
     assert "fresh" in driver.policy.jobs
 
 
@@ -476,7 +476,7 @@
     driver.list([Worker("cold", started_ms=driver.now)])
     driver.policy.slots[0] = 8.0
     driver.now += 2_000
-    assert of_type(driver.job("a", timeout_ms=60_000.0), Send)
+    assert of_type(driver.job("a", patience_ms=60_000.0), Send)
 
 
 def test_the_spill_falls_after_a_full_worker_and_grows_after_success() -> None:
@@ -505,7 +505,7 @@
     """A worker under load reports one or two free slots; with an estimate of only these it was half idle."""
     driver, sends = four_out(1.0)
     for send in sends:
-        driver.handle(AttemptProgress(send.job, 0, send.worker))
+        driver.handle(AttemptNote(send.job, 0, send.worker))
     driver.policy.next_tick_ms = 0.0
     driver.handle(TimerFired(0), after_ms=5)  # too early: a start may arrive before the end of the previous job
     assert driver.policy.slots == [1.0]
@@ -526,7 +526,7 @@
     """Not if it was overtaken, as its connection is silent; nor with several nodes, as their jobs use slots too."""
     driver, sends = four_out(8.0, instances=instances)
     for number in started:
-        driver.handle(AttemptProgress(sends[number].job, 0, sends[number].worker), after_ms=1)
+        driver.handle(AttemptNote(sends[number].job, 0, sends[number].worker), after_ms=1)
     driver.policy.next_tick_ms = 0.0
     driver.handle(TimerFired(0), after_ms=50)
     assert driver.policy.slots == [pytest.approx(8.0 - 0.1 * 5.0 if lower else 8.0)]
@@ -540,7 +540,7 @@
     driver = Driver(settings(instances=9, number=0, reports_starts=True), workers=9)
     sends = [send for index in range(9) for send in of_type(driver.job(f"a{index}"), Send)]
     send = next(send for send in sends if driver.policy.jobs[send.job].attempts[0].spilled)
-    driver.handle(AttemptProgress(send.job, 0, send.worker), after_ms=after_ms)
+    driver.handle(AttemptNote(send.job, 0, send.worker), after_ms=after_ms)
     worker = driver.policy.workers[send.worker]
     assert (worker.free, worker.reported_ms) == (free, driver.now)
 
@@ -559,7 +559,7 @@
     driver.policy.run_ms[:], driver.policy.dead, driver.policy.spill = [100.0, 100.0], dead, 0.0
     driver.policy.slots[:] = [1.0]
     [send] = of_type(driver.job("silent"), Send)
-    driver.handle(AttemptProgress("silent", 0, "w0"), after_ms=10)
+    driver.handle(AttemptNote("silent", 0, "w0"), after_ms=10)
     return driver, send
 
 
@@ -581,7 +581,7 @@
 
 def test_an_attempt_without_a_sign_of_life_is_cancelled_once() -> None:
     driver, send = silent(0.0)
-    driver.handle(AttemptProgress("silent", 0, "w0", 0.5), after_ms=2_000)  # long, but alive
+    driver.handle(AttemptNote("silent", 0, "w0", 0.5), after_ms=2_000)  # long, but alive
     for _ in range(22):
         assert not of_type(driver.handle(TimerFired(0), after_ms=100), Cancel)
     driver.policy.next_tick_ms = 0.0
@@ -638,7 +638,7 @@
     driver.now = latest_start - 1.0
     due += [driver.now + action.delay_ms for action in of_type(driver.handle(TimerFired(0)), SetTimer)]
     for count in range(40):  # one event per millisecond; timers fire when they are due
-        actions = driver.job(f"x{count}", timeout_ms=1.0)
+        actions = driver.job(f"x{count}", patience_ms=1.0)
         driver.now += 1.0
         if any(time <= driver.now for time in due):
             actions += driver.handle(TimerFired(0))
@@ -657,8 +657,8 @@
         )
         [silent] = of_type(driver.job("silent", job_class=job_class), Send)
         for number in range(3):
-            [send] = of_type(driver.handle(JobArrived(f"j{number}", timeout_ms=5_000.0), after_ms=60.0), Send)
-            driver.handle(AttemptProgress(send.job, 0, send.worker), after_ms=2.0)
+            [send] = of_type(driver.handle(JobArrived(f"j{number}", patience_ms=5_000.0), after_ms=60.0), Send)
+            driver.handle(AttemptNote(send.job, 0, send.worker), after_ms=2.0)
             driver.end(send, after_ms=60.0)
         return driver, silent
 
@@ -670,7 +670,7 @@
         assert (Cancel("silent", 0) in actions) == (cancels and starts_in_order)
         assert worker.slots_in_use == (0 if starts_in_order else 1)
     driver, silent = driver_of(True)
-    driver.handle(AttemptProgress("silent", 0, silent.worker))  # late, but alive
+    driver.handle(AttemptNote("silent", 0, silent.worker))  # late, but alive
     assert not of_type(driver.handle(TimerFired(0), after_ms=300.0), Cancel)
 
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -10,7 +10,7 @@
 from pipitledge.decision.interface import (
     NEVER_RAN,
     AttemptEnded,
-    AttemptProgress,
+    AttemptNote,
     ClientGone,
     Fail,
     JobArrived,
@@ -155,7 +155,7 @@
             checked.handle(WorkersChanged(Listing.DELTA, (row._replace(state=state),)))
         elif step == "n" and checked.outstanding():
             job, index = checked.outstanding()[a % len(checked.outstanding())]
-            checked.handle(AttemptProgress(job, index, checked.sends[job][index][0], b / 8.0))
+            checked.handle(AttemptNote(job, index, checked.sends[job][index][0], b / 8.0))
         elif step == "r":
             checked.handle(AttemptEnded(f"j{a}", b, "nobody", Result.OK, 1.0, True))  # an unknown job
         for _ in range(a // 20 if step == "t" else 0):
@@ -205,7 +205,7 @@
         for at, send in [(at, send) for at, send in running if at <= driver.now]:
             running.remove((at, send))
             driver.end(send, Result.OK, after_ms=0.0)
-        for send in of_type(driver.job(f"j{number}", timeout_ms=2_000.0), Send):
+        for send in of_type(driver.job(f"j{number}", patience_ms=2_000.0), Send):
             running.append((driver.now + run_ms, send))
             if send.worker == "cold":
                 sent.append(driver.now)
--- a/tests/test_server_link.py
+++ b/tests/test_server_link.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from net_helper import END, HEAD, Rig, line, read
 
-from pipitledge.decision.interface import AttemptEnded, AttemptProgress, Cancel, JobArrived, ProbeEnded, Result, Send
+from pipitledge.decision.interface import AttemptEnded, AttemptNote, Cancel, JobArrived, ProbeEnded, Result, Send
 from pipitledge.node.dispatch import Served
 from pipitledge.node.end_reasons import RESULT_BY_END_REASON, EndReason
 from pipitledge.node.reuse_history import ReuseHistory
@@ -134,7 +134,7 @@
         ended = [event for event in self.rig.script.of(AttemptEnded)]
         assert [event.result for event in ended] == self.want
         assert [event.job for event in ended] == [f"q{index + 1}" for index in range(len(ended))]
-        assert len(self.rig.script.of(AttemptProgress)) == self.notes
+        assert len(self.rig.script.of(AttemptNote)) == self.notes
         assert len(self.rig.pool.idle.get("w0", [])) == (self.state == "idle")
         assert len(self.rig.pool.links) == (self.state != "none")
         for event in ended:
